--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -6,6 +6,7 @@
 no time. A row in which the load tool itself ran over 5 ms late says so: its waits are the tool's, its CPU
 counts.
 """
+
 import asyncio
 import os
 import sys
@@ -19,8 +20,7 @@
 from grebedyke.load.fleet import Fleet
 
 VIEW = shape.Operation("view", "safe", 4.0)
-COMMANDS = {"node": (sys.executable, "-m", "grebedyke"),
-            "relay": (sys.executable, "-m", "benchmarks.relay")}
+COMMANDS = {"node": (sys.executable, "-m", "grebedyke"), "relay": (sys.executable, "-m", "benchmarks.relay")}
 
 
 def cpu(pid):
@@ -46,8 +46,13 @@
         await clients.play(shape.arrivals(2, "poisson", rate, seconds, "constant", 1e-6, (VIEW,)))
         used = cpu(pid) - before
         counts, waits = clients.ledger.counts(), clients.percentiles()
-        return (used * 1000 / max(counts["taken"], 1), waits["p50"], waits["p99"], clients.late * 1000,
-                counts["succeeded"] / max(counts["taken"], 1))
+        return (
+            used * 1000 / max(counts["taken"], 1),
+            waits["p50"],
+            waits["p99"],
+            clients.late * 1000,
+            counts["succeeded"] / max(counts["taken"], 1),
+        )
     finally:
         for _, writer in open_:
             writer.close()
@@ -63,9 +68,15 @@
         mid = {command: [median(x) for x in zip(*runs)] for command, runs in told.items()}
         node, relay = mid["node"], mid["relay"]
         late, served = max(node[3], relay[3]), min(node[4], relay[4])
-        cells = (name, f"{node[0]:.2f}", f"{relay[0]:.2f}", f"{node[0] / relay[0]:.1f}",
-                 f"{node[1]:.1f} / {node[2]:.1f}", f"{relay[1]:.1f} / {relay[2]:.1f}",
-                 f"{served:.3f}" + (f" (tool {late:.0f} ms late)" if late > 5 else ""))
+        cells = (
+            name,
+            f"{node[0]:.2f}",
+            f"{relay[0]:.2f}",
+            f"{node[0] / relay[0]:.1f}",
+            f"{node[1]:.1f} / {node[2]:.1f}",
+            f"{relay[1]:.1f} / {relay[2]:.1f}",
+            f"{served:.3f}" + (f" (tool {late:.0f} ms late)" if late > 5 else ""),
+        )
         yield f"| {' | '.join(cells)} |"
 
 
@@ -80,6 +91,7 @@
     async def play():
         async for row in rows(cases, seconds, rounds):
             click.echo(row)
+
     click.echo("| case | CPU ms, node | relay | ratio | added wait p50 / p99 ms, node | relay | succeeded |")
     click.echo("| --- | --- | --- | --- | --- | --- | --- |")
     asyncio.run(play())
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -10,6 +10,7 @@
 A call counts by its work over the mean work, also where it is turned away. The bound of any window that the
 settings name is N + 2 root N + 2, N being what they allow the executor at the window's end.
 """
+
 import random
 from collections import deque
 from concurrent.futures import ProcessPoolExecutor
@@ -26,8 +27,8 @@
 from grebedyke.standin.model import Worker
 
 SIZES = 1, 5, 30
-TICK, WAY = 50, 10      # between two turns of a node; on the way to an executor
-WARM_UP = 6 * SECOND      # before the first replacement: the nodes have learnt their rates
+TICK, WAY = 50, 10  # between two turns of a node; on the way to an executor
+WARM_UP = 6 * SECOND  # before the first replacement: the nodes have learnt their rates
 
 
 class Worst(NamedTuple):
@@ -75,36 +76,77 @@
         self.machines = self.random.randint(*((6, 12) if self.n < 9 else (10, 24)))
         # Of several sizes, told roughly as the list's weights; else all alike.
         self.unlike, self.slots = pick((False, True)), pick((1, 2, 4, 8))
-        works = [draw(0.05, 0.5), draw(0.3, 1.8)]      # two operations' mean work, in seconds
+        works = [draw(0.05, 0.5), draw(0.3, 1.8)]  # two operations' mean work, in seconds
         self.works, self.part = works, draw(0.6, 0.95)
         self.mean = works[0] * self.part + works[1] * (1 - self.part)
-        self.calm, self.burst = draw(0.1, 0.9), draw(1.0, 3.0)      # offered work over capacity
-        self.rules = {"drainGraceMs": 2000, "fallMultiple": self.multiple, "coldFrom": self.cold_from,
-                      "rampTimeMs": self.ramp / 10, "tipAfterMs": self.tip / 10}
+        self.calm, self.burst = draw(0.1, 0.9), draw(1.0, 3.0)  # offered work over capacity
+        self.rules = {
+            "drainGraceMs": 2000,
+            "fallMultiple": self.multiple,
+            "coldFrom": self.cold_from,
+            "rampTimeMs": self.ramp / 10,
+            "tipAfterMs": self.tip / 10,
+        }
 
     def terms(self, me):
-        return terms({
-            "balancers": self.n, "me": me, "tickMs": TICK / 10, "zone": "a", "rules": self.rules,
-            "operations": [
-                {"name": "short", "idempotency": "safe", "latencyObjectiveMs": 400, "clientTimeoutMs": 5000,
-                 "aimStretch": 2.0},
-                {"name": "long", "idempotency": "keyed", "windowMs": 10_000, "group": "all",
-                 "latencyObjectiveMs": 400, "clientTimeoutMs": 6000, "aimStretch": 2.0}],
-            "limits": {"maxForwards": 4, "probes": self.probes, "maxRetryAfterMs": 2000, "retryAfter": True},
-            "familyInfo": {"tellsStart": self.starts}, "billedValueBy": "request"})
+        return terms(
+            {
+                "balancers": self.n,
+                "me": me,
+                "tickMs": TICK / 10,
+                "zone": "a",
+                "rules": self.rules,
+                "operations": [
+                    {
+                        "name": "short",
+                        "idempotency": "safe",
+                        "latencyObjectiveMs": 400,
+                        "clientTimeoutMs": 5000,
+                        "aimStretch": 2.0,
+                    },
+                    {
+                        "name": "long",
+                        "idempotency": "keyed",
+                        "windowMs": 10_000,
+                        "group": "all",
+                        "latencyObjectiveMs": 400,
+                        "clientTimeoutMs": 6000,
+                        "aimStretch": 2.0,
+                    },
+                ],
+                "limits": {
+                    "maxForwards": 4,
+                    "probes": self.probes,
+                    "maxRetryAfterMs": 2000,
+                    "retryAfter": True,
+                },
+                "familyInfo": {"tellsStart": self.starts},
+                "billedValueBy": "request",
+            }
+        )
 
     def drawn(self):
-        return (f"{self.machines} executors, {'unlike' if self.unlike else f'{self.slots} slots'}, multiple "
-                f"{self.multiple:.1f}, window {self.tip / SECOND:.1f} s, from {self.cold_from:.2f} in "
-                f"{self.ramp / SECOND:.0f} s, load {self.calm:.1f} and {self.burst:.1f}, mean "
-                f"{self.mean:.2f} s, probes {self.probes:d}, starts {self.starts:d}, hints {self.hints:d}")
+        return (
+            f"{self.machines} executors, {'unlike' if self.unlike else f'{self.slots} slots'}, multiple "
+            f"{self.multiple:.1f}, window {self.tip / SECOND:.1f} s, from {self.cold_from:.2f} in "
+            f"{self.ramp / SECOND:.0f} s, load {self.calm:.1f} and {self.burst:.1f}, mean "
+            f"{self.mean:.2f} s, probes {self.probes:d}, starts {self.starts:d}, hints {self.hints:d}"
+        )
 
     def machine(self, born):
         slots = self.random.choice((1, 2, 4, 8, 16)) if self.unlike else self.slots
         speed = self.random.uniform(0.7, 1.3) if self.unlike else 1
         # Here is only counted what would fell it: a fall would hide all that comes after.
-        worker = Worker(slots, speed, queue=4 * slots, cold=self.cold_from, ramp=self.ramp / SECOND,
-                        multiple=inf, window=0, born=born / SECOND)
+        worker = Worker(
+            slots,
+            speed,
+            queue=4 * slots,
+            cold=self.cold_from,
+            ramp=self.ramp / SECOND,
+            multiple=inf,
+            window=0,
+            born=born / SECOND,
+        )
         weight = slots * speed * self.random.uniform(0.8, 1.25) if self.unlike else 1
         host = Host(f"s-{next(self.ids)}", worker, born, weight)
         self.hosts[host.id] = host
@@ -168,13 +210,15 @@
     def take(self, node):
         long = self.random.random() > self.part
         # Where no hint tells of it, one call of N times the mean would be nobody's fault.
-        work = self.works[long] * (self.random.gammavariate(2, 0.5) if self.hints
-                                   else self.random.uniform(0.4, 1.6))
+        work = self.works[long] * (
+            self.random.gammavariate(2, 0.5) if self.hints else self.random.uniform(0.4, 1.6)
+        )
         id = next(self.ids)
         self.invs[id] = work, self.dispatchers[node]
         hint = work * SECOND * self.random.uniform(0.7, 1.4) if self.hints else 0
-        self.dispatchers[node].taken(self.now, id, ("short", "long")[long], None,
-                                     self.now + 5 * SECOND, hint, 1)
+        self.dispatchers[node].taken(
+            self.now, id, ("short", "long")[long], None, self.now + 5 * SECOND, hint, 1
+        )
         self.pull(node)
 
     def pull(self, node):
@@ -188,10 +232,27 @@
             kind, *rest = decision
             if kind == "forward":
                 n = len(dispatcher.invs[rest[0]].forwards) - 1
-                self.later(self.now + WAY, self.come, node, dispatcher, rest[0], n, rest[1],
-                           self.heard[node].get(rest[1], 0))
-                self.later(self.now + max(rest[2], 1), self.tell, node, dispatcher, "ended", rest[0], n,
-                           TIMEOUT, False)
+                self.later(
+                    self.now + WAY,
+                    self.come,
+                    node,
+                    dispatcher,
+                    rest[0],
+                    n,
+                    rest[1],
+                    self.heard[node].get(rest[1], 0),
+                )
+                self.later(
+                    self.now + max(rest[2], 1),
+                    self.tell,
+                    node,
+                    dispatcher,
+                    "ended",
+                    rest[0],
+                    n,
+                    TIMEOUT,
+                    False,
+                )
             elif kind == "probe":
                 self.later(self.now + 2 * WAY, self.probed, node, dispatcher, rest[0])
             elif kind == "wake":
@@ -297,12 +358,13 @@
         total = sum(x for _, x, _ in window)
         known = sum(x for _, x, told in window if told) / total
         allowed = self.multiple * warmth * host.power * self.tip / SECOND / self.mean
-        bound = allowed + 2 * allowed ** 0.5 + 2
+        bound = allowed + 2 * allowed**0.5 + 2
         if known <= 2 / 3:
-            return      # most came from nodes that had not been told: no fault of theirs
+            return  # most came from nodes that had not been told: no fault of theirs
         self.windows += 1
-        worst = Worst(total / bound, total, bound, allowed, len(window), known,
-                      (self.now - host.born) / SECOND)
+        worst = Worst(
+            total / bound, total, bound, allowed, len(window), known, (self.now - host.born) / SECOND
+        )
         self.worst = max(self.worst or worst, worst)
         if total > bound:
             self.over.append((self.now, host.id))
@@ -329,18 +391,24 @@
         for n in map(int, nodes.split(",")):
             found = list(pool.map(one, [(seed + i, n, seconds) for i in range(rounds)]))
             for i, (worst, over, windows, sent, cold, drawn) in enumerate(found if every else ()):
-                print(f"  seed {seed + i}: {line(worst)}; over in {over} of {windows}; {cold} of {sent} "
-                      f"calls at cold ones; {drawn}")
+                print(
+                    f"  seed {seed + i}: {line(worst)}; over in {over} of {windows}; {cold} of {sent} "
+                    f"calls at cold ones; {drawn}"
+                )
             worst = max(row[0] for row in found if row[0])
             over, windows, _, cold = (sum(row[i] for row in found) for i in range(1, 5))
-            print(f"{n} nodes, {rounds} rounds: worst {line(worst)}; over the bound in "
-                  f"{sum(bool(row[1]) for row in found)} rounds, {over} of {windows} windows; "
-                  f"{cold} calls at cold ones")
+            print(
+                f"{n} nodes, {rounds} rounds: worst {line(worst)}; over the bound in "
+                f"{sum(bool(row[1]) for row in found)} rounds, {over} of {windows} windows; "
+                f"{cold} calls at cold ones"
+            )
 
 
 def line(worst):
-    return worst and (f"{worst.calls:.1f} calls ({worst.raw} by number) beside {worst.bound:.1f} "
-                      f"(N {worst.allowed:.1f}), {worst.told:.0%} told, at {worst.age:.1f} s")
+    return worst and (
+        f"{worst.calls:.1f} calls ({worst.raw} by number) beside {worst.bound:.1f} "
+        f"(N {worst.allowed:.1f}), {worst.told:.0%} told, at {worst.age:.1f} s"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -25,17 +25,39 @@
 
 # The size that operators expect: docs/CAPACITY.md.
 EXPECTED = {
-    "nodes": 760, "executors": 760, "limits": 34, "limits wanted": 34, "tenants": 34, "forwards": 3_100,
-    "plan length": 51, "changes an hour": 10, "bytes of the value": 20_000, "operations": 64,
-    "lease in s": 2, "bytes of a word": 400, "most out at once": 4,
+    "nodes": 760,
+    "executors": 760,
+    "limits": 34,
+    "limits wanted": 34,
+    "tenants": 34,
+    "forwards": 3_100,
+    "plan length": 51,
+    "changes an hour": 10,
+    "bytes of the value": 20_000,
+    "operations": 64,
+    "lease in s": 2,
+    "bytes of a word": 400,
+    "most out at once": 4,
 }
 FEWEST = 34  # nodes: one beside each team's submitter
 # What control may take at a node: bytes a second in and out, of a core, bytes of memory.
 MAY = {"bytes": 3_000, "CPU": 0.011, "resident": 64_000_000}
 # Of each role in the tables of slopes; the rest is in the JSON. What comes in goes much as what goes out.
-SHOWN = ("bytes out", "messages out", "CPU", "state", "resident", "bytes a change", "CPU a change",
-         "CPU an invocation", "CPU a change of the list", "state for forwards", "bytes of a whole list",
-         "CPU of a whole list", "whole after")
+SHOWN = (
+    "bytes out",
+    "messages out",
+    "CPU",
+    "state",
+    "resident",
+    "bytes a change",
+    "CPU a change",
+    "CPU an invocation",
+    "CPU a change of the list",
+    "state for forwards",
+    "bytes of a whole list",
+    "CPU of a whole list",
+    "whole after",
+)
 # What does not grow: most over least; and of CPU, which swings with the machine, the exponent.
 STILL, FLAT = 1.1, 0.12
 SCENES = "restart of all", "regions cut"
@@ -60,12 +82,25 @@
     over(roles.limited, "nodes", nodes, nodes=None, span=span, wanted=2, full=True)
     over(roles.limited, "nodes", nodes, nodes=None, span=span, wanted=2)
     for full in (True, False):
-        over(roles.limited, "limits", (4, 12, 34, 110, 340)[: 4 if quick else 5], nodes=base, span=span,
-             limits=None, full=full)
+        over(
+            roles.limited,
+            "limits",
+            (4, 12, 34, 110, 340)[: 4 if quick else 5],
+            nodes=base,
+            span=span,
+            limits=None,
+            full=full,
+        )
     over(roles.limited, "limits wanted", (1, 4, 12, 34), nodes=mid, span=span, wanted=None)
     over(roles.planned, "nodes", nodes, nodes=None, span=2 * span, length=24)
-    over(roles.planned, "plan length", (8, 24, 80) if quick else (8, 24, 76, 240, 760), nodes=base,
-         span=2 * span, length=None)
+    over(
+        roles.planned,
+        "plan length",
+        (8, 24, 80) if quick else (8, 24, 76, 240, 760),
+        nodes=base,
+        span=2 * span,
+        length=None,
+    )
     over(roles.planned, "executors", executors, nodes=base, span=2 * span, length=10, executors=None)
     over(roles.planned, "most out at once", (1, 2, 4, 16), nodes=base, span=2 * span, length=48, most=None)
     over(roles.idle, "nodes", nodes, nodes=None, span=span)
@@ -75,17 +110,36 @@
         more = {"nodes": base, "span": max(span, 2 * lease), "lease": lease}
         found += [(roles.idle, "lease in s", size, more), (roles.limited, "lease in s", size, more)]
     over(roles.given, "nodes", nodes, nodes=None, span=span, an_hour=600, length=2_000)
-    over(roles.given, "changes an hour", (60, 240, 900, 3_600), nodes=mid, span=span, an_hour=None,
-         length=2_000)
-    over(roles.given, "bytes of the value", (500, 2_000, 8_000, 30_000), nodes=mid, span=span, an_hour=600,
-         length=None)
+    over(
+        roles.given,
+        "changes an hour",
+        (60, 240, 900, 3_600),
+        nodes=mid,
+        span=span,
+        an_hour=None,
+        length=2_000,
+    )
+    over(
+        roles.given,
+        "bytes of the value",
+        (500, 2_000, 8_000, 30_000),
+        nodes=mid,
+        span=span,
+        an_hour=600,
+        length=None,
+    )
     for what in SCENES:
         over(roles.scene, "nodes", nodes[:2] if quick else (34, 76, 190, 380), nodes=None, what=what)
     books = (10, 30, 100, 240) if quick else (24, 76, 240, 760, 2_400)
     for probes in (True, False):
         over(roles.placed, "executors", books, executors=None, probes=probes, forwards=20)
-    over(roles.placed, "forwards", (10, 31, 100) if quick else (31, 100, 310, 1_000, 3_100), forwards=None,
-         executors=100 if quick else 760)
+    over(
+        roles.placed,
+        "forwards",
+        (10, 31, 100) if quick else (31, 100, 310, 1_000, 3_100),
+        forwards=None,
+        executors=100 if quick else 760,
+    )
     few = {"executors": 100} if quick else {}
     over(roles.placed, "operations", (2, 8, 24, 64), operations=None, **few)
     over(roles.placed, "tenants", (3, 10, 34, 100), tenants=None, **few)
@@ -93,8 +147,14 @@
     over(roles.datagrams, "bytes of a word", (40, 120, 400, 1_150))
     over(processes.reloaded, "nodes", nodes, nodes=None)
     for fleet in (True, False):
-        over(processes.process, "executors", (10, 100) if quick else (10, 100, 300, 760), executors=None,
-             fleet=fleet, span=1.0 if quick else 10.0)
+        over(
+            processes.process,
+            "executors",
+            (10, 100) if quick else (10, 100, 300, 760),
+            executors=None,
+            fleet=fleet,
+            span=1.0 if quick else 10.0,
+        )
     dear = {roles.limited: 3, roles.scene: 3, roles.planned: 2, roles.idle: 1}
     return sorted(found, key=lambda case: -dear.get(case[0], 0) * case[3].get("nodes", 0))
 
@@ -137,8 +197,10 @@
             sizes, values = grouped.setdefault((row["role"], row["against"]), {}).setdefault(name, ([], []))
             sizes.append(row["size"])
             values.append(value)
-    return {key: {name: (sizes, values, fit(sizes, values)) for name, (sizes, values) in told.items()}
-            for key, told in grouped.items()}
+    return {
+        key: {name: (sizes, values, fit(sizes, values)) for name, (sizes, values) in told.items()}
+        for key, told in grouped.items()
+    }
 
 
 def figure(name, value):
@@ -164,8 +226,10 @@
     if slope is None:
         return ends
     each = f"{'+' if slope.each >= 0 else '-'} {figure(name, abs(slope.each))} x n"
-    return (f"{ends}; n^{slope.exponent:.2f} ({slope.left:.0%}) or {figure(name, slope.floor)} {each} "
-            f"({slope.line_left:.0%})")
+    return (
+        f"{ends}; n^{slope.exponent:.2f} ({slope.left:.0%}) or {figure(name, slope.floor)} {each} "
+        f"({slope.line_left:.0%})"
+    )
 
 
 def table(told):
@@ -196,8 +260,10 @@
 
 def at_size(told, at):
     """By role, at so many nodes: what it comes to, beside what a node may take."""
-    yield ("| role | bytes a second in and out | of 3 KB | datagrams a second | CPU of the parts | with "
-           "the loop | of 1.1% | units a second | state counted | of 64 MB |")
+    yield (
+        "| role | bytes a second in and out | of 3 KB | datagrams a second | CPU of the parts | with "
+        "the loop | of 1.1% | units a second | state counted | of 64 MB |"
+    )
     yield "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
     loop = told.get(("a datagram through the loop", "bytes of a word"))
     # Out of one socket and into another is one measure; each side is taken for half of it.
@@ -205,37 +271,52 @@
     for (role, against), quantities in told.items():
         if against != "nodes" or "messages in" not in quantities:
             continue
-        got = {name: read_off(slope, at) if slope else (values[-1], sizes[-1] < at)
-               for name, (sizes, values, slope) in quantities.items()}
+        got = {
+            name: read_off(slope, at) if slope else (values[-1], sizes[-1] < at)
+            for name, (sizes, values, slope) in quantities.items()
+        }
         size = got["bytes in"][0] + got["bytes out"][0]
         words = got["messages in"][0] + got["messages out"][0]
         cpu, state = got["CPU"][0], got["state"][0]
         whole = cpu + words * half
         mark = " *" if got["bytes in"][1] or got["bytes out"][1] else ""
-        yield (f"| {role}{mark} | {size:,.0f} | {size / MAY['bytes']:.2f} | "
-               f"{words:,.1f} | {cpu * 100:.3f}% | {whole * 100:.3f}% | {whole / MAY['CPU']:.2f} | "
-               f"{got['units'][0]:.3f} | {state:,.0f} | {state / MAY['resident']:.3f} |")
+        yield (
+            f"| {role}{mark} | {size:,.0f} | {size / MAY['bytes']:.2f} | "
+            f"{words:,.1f} | {cpu * 100:.3f}% | {whole * 100:.3f}% | {whole / MAY['CPU']:.2f} | "
+            f"{got['units'][0]:.3f} | {state:,.0f} | {state / MAY['resident']:.3f} |"
+        )
 
 
 KINDS = "hollow", "real", "simulated"
-COUNTED = (("messages_out", 1, "datagrams out"), ("bytes_out", 1, "bytes out"), ("bytes_in", 1, "bytes in"),
-           ("cpu_parts", 100, "CPU"), ("cpu_process", 100, "CPU of the process"), ("resident", 1e6, "MB"))
+COUNTED = (
+    ("messages_out", 1, "datagrams out"),
+    ("bytes_out", 1, "bytes out"),
+    ("bytes_in", 1, "bytes in"),
+    ("cpu_parts", 100, "CPU"),
+    ("cpu_process", 100, "CPU of the process"),
+    ("resident", 1e6, "MB"),
+)
 
 
 def beside(folder):
     """Scale runs' own files (`grebedyke scale`) as tables: medians of each role's nodes, by kind."""
     yield f"Each cell: {' / '.join(KINDS)}."
     yield ""
-    yield ("| run | role | datagrams out | bytes a second out | in | CPU of the parts | of the process "
-           "| resident, MB |")
+    yield (
+        "| run | role | datagrams out | bytes a second out | in | CPU of the parts | of the process "
+        "| resident, MB |"
+    )
     yield "| --- | --- | --- | --- | --- | --- | --- | --- |"
     grown = {}
-    for told in sorted((json.loads(path.read_text()) for path in Path(folder).glob("*.json")),
-                       key=lambda told: (told["shape"]["scene"], told["shape"]["nodes"])):
+    for told in sorted(
+        (json.loads(path.read_text()) for path in Path(folder).glob("*.json")),
+        key=lambda told: (told["shape"]["scene"], told["shape"]["nodes"]),
+    ):
         shape, simulated = told["shape"], (told.get("simulated") or {}).get("roles", [])
         for name, window in told["windows"].items():
-            head = (f"{shape['nodes']} nodes, {name}, leases of {shape['lease_s']:g} s"
-                    + (", void: the loop was late" if told["void"] else ""))
+            head = f"{shape['nodes']} nodes, {name}, leases of {shape['lease_s']:g} s" + (
+                ", void: the loop was late" if told["void"] else ""
+            )
             rows = {}
             for row in window["roles"] + (simulated if len(told["windows"]) == 1 else []):
                 rows.setdefault(row["role"], {})[row["kind"]] = row
@@ -257,9 +338,11 @@
         if slope:
             value, beyond = read_off(slope, EXPECTED["nodes"])
             label_ = "CPU" if label.startswith("CPU") else label
-            yield (f"| {name}, {lease:g} s, {', '.join(map(str, sizes))} nodes | {role} | {label} | "
-                   f"{shown(label_, sizes, values, slope)} | {EXPECTED['nodes']}: {figure(label_, value)}"
-                   f"{' *' if beyond else ''} |")
+            yield (
+                f"| {name}, {lease:g} s, {', '.join(map(str, sizes))} nodes | {role} | {label} | "
+                f"{shown(label_, sizes, values, slope)} | {EXPECTED['nodes']}: {figure(label_, value)}"
+                f"{' *' if beyond else ''} |"
+            )
 
 
 def cells(by_kind):
@@ -282,9 +365,11 @@
     told = slopes(rows)
     yield f"By `python -m benchmarks.fleet` in {took:.0f} s: {state}"
     units = sorted(row["unit"] for row in rows)
-    yield (f"Stated piece of work: a thousand asks for shares of 34 limits, framed and read: "
-           f"{units[len(units) // 2] * 1000:.1f} ms of CPU (median; {units[0] * 1000:.1f} to "
-           f"{units[-1] * 1000:.1f}).")
+    yield (
+        f"Stated piece of work: a thousand asks for shares of 34 limits, framed and read: "
+        f"{units[len(units) // 2] * 1000:.1f} ms of CPU (median; {units[0] * 1000:.1f} to "
+        f"{units[-1] * 1000:.1f})."
+    )
     yield "An asterisk: read off beyond the largest size that was run."
     yield ""
     for at in EXPECTED["nodes"], FEWEST:
@@ -299,8 +384,10 @@
 
 def machine():
     load = ", ".join(f"{x:.1f}" for x in os.getloadavg())
-    return (f"{time.strftime('%Y-%m-%d %H:%M')}, {os.cpu_count()} cores, load average {load}, "
-            f"Python {platform.python_version()}, {platform.system()} {platform.machine()}")
+    return (
+        f"{time.strftime('%Y-%m-%d %H:%M')}, {os.cpu_count()} cores, load average {load}, "
+        f"Python {platform.python_version()}, {platform.system()} {platform.machine()}"
+    )
 
 
 def drawn(told, folder):
@@ -314,9 +401,11 @@
     matplotlib.rcParams |= {"svg.fonttype": "none", "svg.hashsalt": "grebedyke"}
     from matplotlib import pyplot
 
-    for name, limit, label in (("bytes out", MAY["bytes"], "bytes out a second"),
-                               ("CPU", MAY["CPU"], "CPU of the parts, of a core"),
-                               ("state", MAY["resident"], "state, bytes")):
+    for name, limit, label in (
+        ("bytes out", MAY["bytes"], "bytes out a second"),
+        ("CPU", MAY["CPU"], "CPU of the parts, of a core"),
+        ("state", MAY["resident"], "state, bytes"),
+    ):
         figure_, axes = pyplot.subplots(figsize=(8, 4.5))
         axes.set_prop_cycle(color=pyplot.get_cmap("tab20").colors)
         for (role, against), quantities in told.items():
@@ -333,8 +422,9 @@
 
 @click.command()
 @click.option("--quick", is_flag=True, help="Small sizes, about a minute.")
-@click.option("--beside", "at_a_time", default=4, show_default=True, type=click.IntRange(1, 8),
-              help="Cases at a time.")
+@click.option(
+    "--beside", "at_a_time", default=4, show_default=True, type=click.IntRange(1, 8), help="Cases at a time."
+)
 @click.option("--to", default=".", show_default=True, type=click.Path(file_okay=False))
 @click.option("--plots", type=click.Path(file_okay=False), help="Where plots go; none without it.")
 @click.option("--page", "into", type=click.Path(exists=True, dir_okay=False), help="A page for the tables.")
@@ -352,8 +442,9 @@
     text = "\n".join(page(rows, took, state)) + "\n"
     Path(to, "capacity.md").write_text(text)
     if not again:
-        Path(to, "capacity.json").write_text(json.dumps(
-            {"took": took, "machine": state, "argv": sys.argv[1:], "rows": rows}, indent=0))
+        Path(to, "capacity.json").write_text(
+            json.dumps({"took": took, "machine": state, "argv": sys.argv[1:], "rows": rows}, indent=0)
+        )
     if into:
         put(into, MARKS, text)
     if into and scale:
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -5,6 +5,7 @@
 Simulated, with the same seeds and faults for all three; then how a share follows demand from one node to
 another, and how long a limit is used little after its holder is lost.
 """
+
 from concurrent.futures import ProcessPoolExecutor
 from statistics import median
 
@@ -19,7 +20,9 @@
     "links cut, stalled, lossy": {"faults": 3, "kinds": ("cut", "stalled", "bad links")},
     "processes killed and stopped": {"faults": 3, "kinds": ("kill", "all killed", "stop")},
     "disks and folders": {
-        "faults": 3, "kinds": ("older folder", "empty folder", "spoilt file", "failing disk", "slow disk")},
+        "faults": 3,
+        "kinds": ("older folder", "empty folder", "spoilt file", "failing disk", "slow disk"),
+    },
     "all mixed": {},
 }
 WAYS = "shares", "equal", "none"
@@ -49,8 +52,12 @@
     world.weights = [0, 1, 0, 0, 0]
     for _ in range(16):
         world.run(world.now + LEASE // 4)
-        rows.append([round(next(iter(h.parts[-1].gate.meters.values())).held(h.clock()) / 1000) for h in
-                     world.hosts[:2]])
+        rows.append(
+            [
+                round(next(iter(h.parts[-1].gate.meters.values())).held(h.clock()) / 1000)
+                for h in world.hosts[:2]
+            ]
+        )
     return rows
 
 
@@ -87,15 +94,21 @@
                 rows = [*pool.map(one, [(seed, way, faults) for seed in range(seeds)])]
                 moved, faulty, used = (median(row[i] for row in rows) for i in range(3))
                 over, more = (max(row[i] for row in rows) for i in (3, 4))
-                click.echo(f"{faults}; {way}: used {moved:.2f} moving, {faulty:.2f} amid faults, "
-                           f"{used:.2f} still; over by {over:.0f} invocations, {more} more under way")
-        click.echo("demand goes from node 0 to node 1; their shares each quarter of a lease: "
-                   + " ".join(f"{a}/{b}" for a, b in following(1)))
+                click.echo(
+                    f"{faults}; {way}: used {moved:.2f} moving, {faulty:.2f} amid faults, "
+                    f"{used:.2f} still; over by {over:.0f} invocations, {more} more under way"
+                )
+        click.echo(
+            "demand goes from node 0 to node 1; their shares each quarter of a lease: "
+            + " ".join(f"{a}/{b}" for a, b in following(1))
+        )
         for how in ("killed", "stopped for three leases", "all nodes restarted"):
             rows = [*pool.map(lost, range(seeds), [how] * seeds)]
             times = [row[0] for row in rows]
-            click.echo(f"holder {how}: under 0.9 of the limit for {median(times):.0f} s (most {max(times)}), "
-                       f"leases of 1 s; least {min(row[1] for row in rows):.2f}")
+            click.echo(
+                f"holder {how}: under 0.9 of the limit for {median(times):.0f} s (most {max(times)}), "
+                f"leases of 1 s; least {min(row[1] for row in rows):.2f}"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -20,32 +20,53 @@
 
 def told(folder, executors, nodes, fleet, known, discovery, own):
     """A node's file. The other nodes are addresses at which nobody is."""
-    said = {"name": "n5", "listen": own, "discovery": discovery, "seed": "n5", "known": known,
-            "settings": settings(nodes)}
+    said = {
+        "name": "n5",
+        "listen": own,
+        "discovery": discovery,
+        "seed": "n5",
+        "known": known,
+        "settings": settings(nodes),
+    }
     if fleet:
         said["peers"] = [f"127.9.{i // 250}.{i % 250 + 1}:9020" for i in range(nodes)]
         said["peers"][5] = "127.0.0.1:%d" % free_port()
-        said |= {"fleet": {"name": "f", "folder": str(Path(folder, "folder")), "voters": [0, 1, 2, 3, 4]},
-                 "maintenance": {}, "shares": {"limits": [
-                     {"name": f"limit {i}", "tenant": f"t{i}", "underWay": 4 * nodes, "floor": 1}
-                     for i in range(34)]}}
+        said |= {
+            "fleet": {"name": "f", "folder": str(Path(folder, "folder")), "voters": [0, 1, 2, 3, 4]},
+            "maintenance": {},
+            "shares": {
+                "limits": [
+                    {"name": f"limit {i}", "tenant": f"t{i}", "underWay": 4 * nodes, "floor": 1}
+                    for i in range(34)
+                ]
+            },
+        }
     return said
 
 
 def process(against, size, executors=760, nodes=760, fleet=True, span=10.0):
     """Resident memory of a node process that has its list and serves nobody, and its CPU."""
+
     async def play():
         discovery = await Discovery().listen()
         known = json.loads(listing(executors, discovery))
         with tempfile.TemporaryDirectory(prefix="grebedyke-") as folder:
             own = "127.0.0.1", free_port()
             path = Path(folder, "node.json")
-            path.write_text(json.dumps(told(folder, executors, nodes, fleet, known,
-                                            "%s:%d" % discovery.address, "%s:%d" % own)))
+            path.write_text(
+                json.dumps(
+                    told(folder, executors, nodes, fleet, known, "%s:%d" % discovery.address, "%s:%d" % own)
+                )
+            )
             environ = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
             child = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "grebedyke", env=environ | {"BALANCER_CONFIG": str(path)},
-                stdin=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.DEVNULL)
+                sys.executable,
+                "-m",
+                "grebedyke",
+                env=environ | {"BALANCER_CONFIG": str(path)},
+                stdin=asyncio.subprocess.DEVNULL,
+                stderr=asyncio.subprocess.DEVNULL,
+            )
             try:
                 async with asyncio.timeout(READY):
                     while (await talk.call(own, "GET /up HTTP/1.1", wait=0.5))[0] != 200:
@@ -76,5 +97,11 @@
             said = read_node({"BALANCER_CONFIG": str(path)})
             open_dispatcher(said["seed"], said["settings"])
             took.append(thread_time() - start)
-        return [row("a reload of the file", against, size, **{
-            "CPU a change": min(took), "bytes of a file": path.stat().st_size})]
+        return [
+            row(
+                "a reload of the file",
+                against,
+                size,
+                **{"CPU a change": min(took), "bytes of a file": path.stat().st_size},
+            )
+        ]
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -3,6 +3,7 @@
 Told like a node (BALANCER_CONFIG). Each invocation goes to the next executor of the list, once, with no limit
 of time, no health, no drains; what the executor calls back is the answer. No rule is kept by it.
 """
+
 import asyncio
 import json
 import os
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -8,6 +8,7 @@
 nothing but count, beside it all. Exit 3 where under nine in ten are ready within 10 s, or one of the ready
 ends no invocation.
 """
+
 import asyncio
 import multiprocessing
 import os
@@ -36,6 +37,7 @@
     `taken`, `succeeded`: invocations handed in since the starts; `serving`: ready nodes at which one did;
     `late`: seconds that the load tool ran behind.
     """
+
     times: list
     cpu: list
     taken: int
@@ -58,8 +60,11 @@
     """
 
     async def open(self, name):
-        self.nodes[name] = "127.%d.%d.%d" % (
-            64 + os.getpid() % 128, os.getpid() // 128 % 256, [*self.nodes].index(name) + 1), 9000
+        self.nodes[name] = (
+            "127.%d.%d.%d"
+            % (64 + os.getpid() % 128, os.getpid() // 128 % 256, [*self.nodes].index(name) + 1),
+            9000,
+        )
         await self.launch(name)
 
     async def restart(self, discovery, wait=BOUND + 5):
@@ -91,24 +96,36 @@
 
 def hand_in(nodes, seed, rate, seconds):
     """In a process of its own, as it would make the starts look slow: (clock, node, succeeded) of each."""
+
     async def play():
         clients = Clients(nodes, seed=seed, retries=0)
         await clients.play(shape.arrivals(seed, "poisson", rate, seconds, "exponential", 0.02, (VIEW,)))
-        return [(e.intended, e.id.partition("-")[0], bool(e.answers) and e.answers[0][1] == 200)
-                for e in clients.ledger.entries.values()], clients.late
+        return [
+            (e.intended, e.id.partition("-")[0], bool(e.answers) and e.answers[0][1] == 200)
+            for e in clients.ledger.entries.values()
+        ], clients.late
+
     return asyncio.run(play())
 
 
-async def scene(cases, nodes=30, rate=200.0, busy=0, seed=6101, command=(sys.executable, "-m", "grebedyke"),
-                wait=BOUND + 5):
+async def scene(
+    cases,
+    nodes=30,
+    rate=200.0,
+    busy=0,
+    seed=6101,
+    command=(sys.executable, "-m", "grebedyke"),
+    wait=BOUND + 5,
+):
     """One Ready for each of `cases` (what discovery does in the restart), one restart after the other.
 
     Without load (`rate` 0) nothing is handed in and nothing can be said of it.
     """
     loop = asyncio.get_running_loop()
     fleet = Killed((VIEW,), nodes, executors=8, command=command, seed=seed, slots=32)
-    counting = [await asyncio.create_subprocess_exec(sys.executable, "-c", "while True: pass")
-                for _ in range(busy)]
+    counting = [
+        await asyncio.create_subprocess_exec(sys.executable, "-c", "while True: pass") for _ in range(busy)
+    ]
     apart = ProcessPoolExecutor(1, multiprocessing.get_context("spawn"))
     try:
         await fleet.start()
@@ -119,8 +136,14 @@
             at, got = await fleet.restart(case, wait)
             told, late = await load if rate else ([], 0.0)
             since = [(name, good) for when, name, good in told if when >= at]
-            yield Ready(sorted(t for t, _ in got), sorted(c for _, c in got), len(since),
-                        sum(good for _, good in since), len({name for name, good in since if good}), late)
+            yield Ready(
+                sorted(t for t, _ in got),
+                sorted(c for _, c in got),
+                len(since),
+                sum(good for _, good in since),
+                len({name for name, good in since if good}),
+                late,
+            )
             await fleet.silence("answers")
     finally:
         apart.shutdown(wait=False, cancel_futures=True)
@@ -144,15 +167,33 @@
             async for ready in scene(DISCOVERY, nodes, rate, busy, seed + n):
                 ok = ready.within() >= SHARE * nodes and ready.serving == nodes
                 short += not ok
-                click.echo("| %s | %d of %d | %.2f | %.2f | %.2f | %.2f | %d of %d | %d | %.2f | %s |" % (
-                    next(cases), ready.within(), nodes, ready.times[len(ready.times) // 2], ready.tenth(),
-                    ready.times[-1], ready.cpu[len(ready.cpu) // 2], ready.succeeded, ready.taken,
-                    ready.serving, ready.late, "holds" if ok else "SHORT"))
+                click.echo(
+                    "| %s | %d of %d | %.2f | %.2f | %.2f | %.2f | %d of %d | %d | %.2f | %s |"
+                    % (
+                        next(cases),
+                        ready.within(),
+                        nodes,
+                        ready.times[len(ready.times) // 2],
+                        ready.tenth(),
+                        ready.times[-1],
+                        ready.cpu[len(ready.cpu) // 2],
+                        ready.succeeded,
+                        ready.taken,
+                        ready.serving,
+                        ready.late,
+                        "holds" if ok else "SHORT",
+                    )
+                )
         return short
-    click.echo(f"{nodes} nodes killed and restarted at once, {rate:g} invocations a second, {busy} busy "
-               f"processes beside, {os.cpu_count()} cores, load average {os.getloadavg()[0]:.1f}")
-    click.echo("| discovery | ready within 10 s | median s | 9th decile s | slowest s | CPU s of a start | "
-               "succeeded since | nodes serving | tool late s | |")
+
+    click.echo(
+        f"{nodes} nodes killed and restarted at once, {rate:g} invocations a second, {busy} busy "
+        f"processes beside, {os.cpu_count()} cores, load average {os.getloadavg()[0]:.1f}"
+    )
+    click.echo(
+        "| discovery | ready within 10 s | median s | 9th decile s | slowest s | CPU s of a start | "
+        "succeeded since | nodes serving | tool late s | |"
+    )
     click.echo("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     sys.exit(3 if asyncio.run(play()) else 0)
 
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -130,8 +130,9 @@
     28 bytes a datagram.
     """
 
-    def __init__(self, nodes, executors=24, limits=0, wanted=None, full=False, lease=LEASE, maintenance=True,
-                 seed=1):
+    def __init__(
+        self, nodes, executors=24, limits=0, wanted=None, full=False, lease=LEASE, maintenance=True, seed=1
+    ):
         self.lease, self.many, self.maintenance = lease, limits, maintenance
         self.wanted, self.full = limits if wanted is None else min(wanted, limits), full
         super().__init__(seed, nodes=nodes, voters=5, executors=executors, faults=0)
@@ -150,16 +151,32 @@
         agreement = Agreement(Chance(f"{self.seed} {host.life}"), "f", me, n, self.voters, process, WAIT)
         parts = [agreement]
         if self.maintenance:
-            parts.append(Maintenance(agreement, "f", me, n, process, self.lease, self.drift, GRACE, RAMP,
-                                     WINDOW, ("zone",), None))
+            parts.append(
+                Maintenance(
+                    agreement,
+                    "f",
+                    me,
+                    n,
+                    process,
+                    self.lease,
+                    self.drift,
+                    GRACE,
+                    RAMP,
+                    WINDOW,
+                    ("zone",),
+                    None,
+                )
+            )
         if self.many:
             limits = [
-                Limit(name, RATE, 100_000 * n, 4 * n, 100, None, f"op{i}", False) if i % 2
+                Limit(name, RATE, 100_000 * n, 4 * n, 100, None, f"op{i}", False)
+                if i % 2
                 else Limit(name, OPEN, 4 * n, 0, 1, None, f"op{i}", False)
                 for i, name in enumerate(names(self.many))
             ]
-            parts.append(Sharing(agreement, me, n, process, limits, self.lease, self.drift, SECOND,
-                                 host.clock()))
+            parts.append(
+                Sharing(agreement, me, n, process, limits, self.lease, self.drift, SECOND, host.clock())
+            )
         return [Timed(part, self.spent[me]) for part in parts]
 
     def work(self):
@@ -216,11 +233,13 @@
         self.run(self.now + span)
         seconds = (self.now - start) / SECOND
         return [
-            {"bytes out": (self.counts[i, "bytes out"] - counts[i, "bytes out"]) / seconds,
-             "bytes in": (self.counts[i, "bytes in"] - counts[i, "bytes in"]) / seconds,
-             "messages out": (self.counts[i, "messages out"] - counts[i, "messages out"]) / seconds,
-             "messages in": (self.counts[i, "messages in"] - counts[i, "messages in"]) / seconds,
-             "CPU": (self.spent[i][0] - spent[i]) / seconds}
+            {
+                "bytes out": (self.counts[i, "bytes out"] - counts[i, "bytes out"]) / seconds,
+                "bytes in": (self.counts[i, "bytes in"] - counts[i, "bytes in"]) / seconds,
+                "messages out": (self.counts[i, "messages out"] - counts[i, "messages out"]) / seconds,
+                "messages in": (self.counts[i, "messages in"] - counts[i, "messages in"]) / seconds,
+                "CPU": (self.spent[i][0] - spent[i]) / seconds,
+            }
             for i in range(self.count)
         ]
 
@@ -246,8 +265,10 @@
     """Agreement and maintenance with no plan open: a node, and a voter."""
     world = quiet(Measured(nodes, **shape))
     rows = world.measure(span)
-    return [row("voter", against, size, **world.role(rows, world.voters)),
-            row("node: agreement and maintenance", against, size, **world.role(rows, range(5, nodes)))]
+    return [
+        row("voter", against, size, **world.role(rows, world.voters)),
+        row("node: agreement and maintenance", against, size, **world.role(rows, range(5, nodes))),
+    ]
 
 
 def limited(against, size, nodes, span, limits=34, **shape):
@@ -255,10 +276,12 @@
     world = quiet(Measured(nodes, limits=limits, maintenance=False, executors=0, **shape))
     rows, some = world.measure(span), "all" if world.wanted == world.many else "two"
     more = f", {some} full" if world.full else ""
-    holder, = (h.me for h in world.hosts if h.parts[-1].sure(h.clock()))
+    (holder,) = (h.me for h in world.hosts if h.parts[-1].sure(h.clock()))
     assert any(m.share for h in world.hosts for m in h.parts[-1].gate.meters.values()), "nothing is granted"
-    return [row("holder of limits" + more, against, size, **world.role(rows, [holder])),
-            row("node: limits" + more, against, size, **world.role(rows, range(5, nodes)))]
+    return [
+        row("holder of limits" + more, against, size, **world.role(rows, [holder])),
+        row("node: limits" + more, against, size, **world.role(rows, range(5, nodes))),
+    ]
 
 
 def planned(against, size, nodes, span, length, executors=None, most=4, **shape):
@@ -271,10 +294,18 @@
     world.call(b"/v1/maintenance/plan", plan)
     rows, rev = world.measure(span), max(h.parts[1].board["rev"] for h in world.hosts if h.parts[1].board)
     changes = rev / (span / SECOND) * 3600
-    told = [row("driver of a plan", against, size, **world.role(rows, world.voters, True), changes=changes,
-                undelivered=world.done["too long"]),
-            row("voter in a plan", against, size, **world.role(rows, world.voters)),
-            row("node in a plan", against, size, **world.role(rows, range(5, nodes)))]
+    told = [
+        row(
+            "driver of a plan",
+            against,
+            size,
+            **world.role(rows, world.voters, True),
+            changes=changes,
+            undelivered=world.done["too long"],
+        ),
+        row("voter in a plan", against, size, **world.role(rows, world.voters)),
+        row("node in a plan", against, size, **world.role(rows, range(5, nodes))),
+    ]
     return told
 
 
@@ -287,8 +318,12 @@
     def change():
         i = len(made) % len(value)
         made.append(i)
-        giver.parts[0].change(giver.clock(), "configuration", lambda old: (
-            {**(old or value), f"key {i}": f"{len(made):040}"}, True), lambda now, result: None)
+        giver.parts[0].change(
+            giver.clock(),
+            "configuration",
+            lambda old: ({**(old or value), f"key {i}": f"{len(made):040}"}, True),
+            lambda now, result: None,
+        )
         giver.pull()
         world.later(wait, change)
 
@@ -296,10 +331,17 @@
     world.run(world.now + 2 * SECOND)
     rows = world.measure(max(span, 4 * wait))
     per = 3600 / an_hour  # seconds a change: words and bytes a change are what tells them apart
-    return [row("giver of an agreed configuration", against, size, **world.role(rows, [0]),
-                **{"bytes a change": rows[0]["bytes out"] * per, "CPU a change": rows[0]["CPU"] * per}),
-            row("voter, agreed configuration", against, size, **world.role(rows, range(1, 5))),
-            row("node, agreed configuration", against, size, **world.role(rows, range(5, nodes)))]
+    return [
+        row(
+            "giver of an agreed configuration",
+            against,
+            size,
+            **world.role(rows, [0]),
+            **{"bytes a change": rows[0]["bytes out"] * per, "CPU a change": rows[0]["CPU"] * per},
+        ),
+        row("voter, agreed configuration", against, size, **world.role(rows, range(1, 5))),
+        row("node, agreed configuration", against, size, **world.role(rows, range(5, nodes))),
+    ]
 
 
 def scene(against, size, nodes, what, span=12 * SECOND):
@@ -322,8 +364,11 @@
     while world.now < start + span:
         world.run(world.now + SECOND // 2)
         if whole is None and all(
-            h.alive and h.parts[1].sure(h.clock()) and h.parts[2].answered
-            and any(m.held(h.clock()) for m in h.parts[2].gate.meters.values()) for h in world.hosts
+            h.alive
+            and h.parts[1].sure(h.clock())
+            and h.parts[2].answered
+            and any(m.held(h.clock()) for m in h.parts[2].gate.meters.values())
+            for h in world.hosts
         ):
             whole = (world.now - start) / SECOND
     worst = {}
@@ -333,9 +378,17 @@
     middle = sorted(range(5, nodes), key=lambda i: worst.get((i, "in"), 0))[(nodes - 5) // 2]
 
     def told(role, node):
-        return row(f"{what}: {role}", against, size, **{
-            "bytes out": worst.get((node, "out"), 0), "bytes in": worst.get((node, "in"), 0),
-            "CPU": (world.spent[node][0] - spent[node]) / (span / SECOND), "whole after": whole or 0})
+        return row(
+            f"{what}: {role}",
+            against,
+            size,
+            **{
+                "bytes out": worst.get((node, "out"), 0),
+                "bytes in": worst.get((node, "in"), 0),
+                "CPU": (world.spent[node][0] - spent[node]) / (span / SECOND),
+                "whole after": whole or 0,
+            },
+        )
 
     return [told("busiest", holder), told("node", middle)]
 
@@ -430,8 +483,18 @@
         return self.out
 
 
-def placed(against, size, executors=760, forwards=100, operations=2, tenants=34, nodes=760, probes=True,
-           invocations=300, span=10):
+def placed(
+    against,
+    size,
+    executors=760,
+    forwards=100,
+    operations=2,
+    tenants=34,
+    nodes=760,
+    probes=True,
+    invocations=300,
+    span=10,
+):
     """Memory and CPU of one node's books, and of an invocation through them."""
     name = "an executor's place in the books" + ("" if probes else ", no probes")
     books = Books(executors, operations, tenants, nodes, probes)
@@ -454,9 +517,22 @@
     change = books.took / 20
     # Where credit lets fewer run than were to.
     size = out if against == "forwards" else size
-    return [row(name, against, size, objects=objects, state=state, **{
-        "state for forwards": state - empty[1], "forwards": out, "CPU": idle,
-        "CPU an invocation": median(least), "CPU a change of the list": change})]
+    return [
+        row(
+            name,
+            against,
+            size,
+            objects=objects,
+            state=state,
+            **{
+                "state for forwards": state - empty[1],
+                "forwards": out,
+                "CPU": idle,
+                "CPU an invocation": median(least),
+                "CPU a change of the list": change,
+            },
+        )
+    ]
 
 
 def listed(against, size):
@@ -470,9 +546,19 @@
         books.tell(books.d.listed, True, [r[:1] + r[2:] for r in rows])
         took.append(parsed + books.took)
     call = http.request(b"GET", b"/discovery/hosts?after=12345&wait_ms=2000", b"10.0.0.1:9000")
-    return [row("discovery, for each node", against, size, **{
-        "bytes of a whole list": len(text), "CPU of a whole list": min(took), "bytes of a call": len(call),
-        "bytes of a change": len(listing(1))})]
+    return [
+        row(
+            "discovery, for each node",
+            against,
+            size,
+            **{
+                "bytes of a whole list": len(text),
+                "CPU of a whole list": min(took),
+                "bytes of a call": len(call),
+                "bytes of a change": len(listing(1)),
+            },
+        )
+    ]
 
 
 # What a datagram costs through the node's loop.
@@ -480,6 +566,7 @@
 
 def datagrams(against, size, count=4_000):
     """CPU of one word of so many bytes out of one node's socket and into another's turn, both in here."""
+
     async def play():
         loop, heard = asyncio.get_running_loop(), []
         turn = Turn(loop, Gauges())
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -6,6 +6,7 @@
 and through a plan over all executors. The ideal schedule has no moment between two turns: for each turn the
 work and the warming, nothing for agreement, open forwards, or the operators, who look ten times a second.
 """
+
 import asyncio
 import time
 from statistics import median
@@ -19,13 +20,18 @@
 
 ZONES = "a", "b", "c", "d"
 LOOK = 0.1
-OPERATIONS = (shape.Operation("hold", "keyed", share=0.4), shape.Operation("confirm", "unsafe", share=0.3),
-              shape.Operation("view", "safe", share=0.3))
+OPERATIONS = (
+    shape.Operation("hold", "keyed", share=0.4),
+    shape.Operation("confirm", "unsafe", share=0.3),
+    shape.Operation("view", "safe", share=0.3),
+)
 
 
 async def settled(rig):
-    while not all(told and told["sure"] and not told["plan"] for told in
-                  await asyncio.gather(*(rig.status(name) for name in rig.nodes))):
+    while not all(
+        told and told["sure"] and not told["plan"]
+        for told in await asyncio.gather(*(rig.status(name) for name in rig.nodes))
+    ):
         await asyncio.sleep(LOOK)
 
 
@@ -94,11 +100,15 @@
     for seed in range(first, first + rounds):
         rows.append([asyncio.run(one(seed, nodes, executors, work, rate, plan)) for plan in (False, True)])
         calm, busy = rows[-1]
-        click.echo(f"seed {seed}: succeeded {calm[0]:.4f} with no work, {busy[0]:.4f} through the plan; "
-                   f"p99 {calm[1]:.0f} and {busy[1]:.0f} ms; plan {busy[2]:.1f} s, ideal {ideal:.1f} s; "
-                   f"CPU of a core {calm[3]:.3f} and {busy[3]:.3f}")
-    click.echo(f"service {median(b[0] / c[0] for c, b in rows):.4f} of the same load with no work, "
-               f"time {median(b[2] for _, b in rows) / ideal:.2f} of the ideal (medians of {rounds})")
+        click.echo(
+            f"seed {seed}: succeeded {calm[0]:.4f} with no work, {busy[0]:.4f} through the plan; "
+            f"p99 {calm[1]:.0f} and {busy[1]:.0f} ms; plan {busy[2]:.1f} s, ideal {ideal:.1f} s; "
+            f"CPU of a core {calm[3]:.3f} and {busy[3]:.3f}"
+        )
+    click.echo(
+        f"service {median(b[0] / c[0] for c, b in rows):.4f} of the same load with no work, "
+        f"time {median(b[2] for _, b in rows) / ideal:.2f} of the ideal (medians of {rounds})"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/words.py
+++ b/benchmarks/words.py
@@ -4,6 +4,7 @@
 
 In simulated time without faults; the CPU is that of the parts alone, on this machine.
 """
+
 import time
 
 import click
@@ -48,7 +49,8 @@
     def laid(self, part):
         n = self.count
         return [
-            Limit(f"l{i}", RATE, 100_000 * n, 4 * n, 100, None, f"op{i}", False) if i % 2
+            Limit(f"l{i}", RATE, 100_000 * n, 4 * n, 100, None, f"op{i}", False)
+            if i % 2
             else Limit(f"l{i}", OPEN, 4 * n, 0, 1, None, f"op{i}", False)
             for i in range(self.many)
         ]
@@ -66,8 +68,10 @@
     sent = sorted((world.bytes[i] - start[0][i]) / (span / SECOND) for i in range(world.count))
     took = sorted((h.took - start[1][h.me]) / (span / SECOND) * 100 for h in world.hosts)
     middle = world.count // 2
-    return (f"{names}: bytes a second {sent[-1]:.0f} at the busiest node, {sent[middle]:.0f} at the median; "
-            f"CPU {took[-1]:.2f} and {took[middle]:.2f}% of a core")
+    return (
+        f"{names}: bytes a second {sent[-1]:.0f} at the busiest node, {sent[middle]:.0f} at the median; "
+        f"CPU {took[-1]:.2f} and {took[middle]:.2f}% of a core"
+    )
 
 
 def mark(world):
--- a/grebedyke/__main__.py
+++ b/grebedyke/__main__.py
@@ -2,6 +2,7 @@
 
 With a command's name behind it, that command (grebedyke/commands); a plain node imports nothing of those.
 """
+
 import signal
 import sys
 
@@ -21,14 +22,16 @@
         try:
             from grebedyke.commands.main import cli
         except ModuleNotFoundError as problem:
-            print(f"grebedyke: commands need the tools ({problem.name} is missing): make build",
-                  file=sys.stderr)
+            print(
+                f"grebedyke: commands need the tools ({problem.name} is missing): make build", file=sys.stderr
+            )
             return 2
         return cli(prog_name="grebedyke")
     parser = argparse.ArgumentParser(
         prog="grebedyke",
         description="Dispatcher beside each submitter (TAGS). With a command's name (run, check, "
-        "demo, load, stand-in, fleet-log, version) that command: grebedyke COMMAND --help.")
+        "demo, load, stand-in, fleet-log, version) that command: grebedyke COMMAND --help.",
+    )
     parser.add_argument("--check", action="store_true", help="only read the configuration")
     parser.add_argument("--log-level", default="INFO", choices=("DEBUG", "INFO", "WARNING", "ERROR"))
     parser.add_argument("--log-format", default="text", choices=log.FORMATS)
--- a/grebedyke/agreement/part.py
+++ b/grebedyke/agreement/part.py
@@ -259,7 +259,11 @@
         b = self.counter, self.me, self.process
         changes = list(wishes)
         r = self.rounds[key] = Round(
-            key, b, max(self.voter.epoch, FIRST_EPOCH), list(self.members), changes,
+            key,
+            b,
+            max(self.voter.epoch, FIRST_EPOCH),
+            list(self.members),
+            changes,
             now + (self.wait << self.patience),
         )
         for v in r.members:
--- a/grebedyke/benchlink/adapter.py
+++ b/grebedyke/benchlink/adapter.py
@@ -2,6 +2,7 @@
 
 The wire's own names end here. Decoded fields go straight into calls.
 """
+
 import gc
 import traceback
 from base64 import b64decode, b64encode
@@ -12,8 +13,16 @@
 from grebedyke.service.configuration import Unusable, open_dispatcher, tenths, terms
 from grebedyke.wire import words
 
-OUTCOMES = {0: ledger.OK, 13: ledger.FAULT, 8: ledger.FULL, 4: ledger.TIMEOUT, 14: ledger.NO_CONNECTION,
-            10: ledger.RESET, 1: ledger.CANCELLED, 9: ledger.MOOT}
+OUTCOMES = {
+    0: ledger.OK,
+    13: ledger.FAULT,
+    8: ledger.FULL,
+    4: ledger.TIMEOUT,
+    14: ledger.NO_CONNECTION,
+    10: ledger.RESET,
+    1: ledger.CANCELLED,
+    9: ledger.MOOT,
+}
 STATES = {"healthy": "healthy", "cordoned": "draining", "deregistered": "gone"}
 
 
@@ -35,23 +44,51 @@
         else:
             host.progressed(now, event["tid"], event["attempt"])
     elif name == "attemptEnd":
-        host.ended(now, event["tid"], event["attempt"], OUTCOMES.get(event["reason"], ledger.FAULT),
-                   event.get("closed", False), reported(fields, event.get("feedback"))[0])
+        host.ended(
+            now,
+            event["tid"],
+            event["attempt"],
+            OUTCOMES.get(event["reason"], ledger.FAULT),
+            event.get("closed", False),
+            reported(fields, event.get("feedback"))[0],
+        )
     elif name == "order":
-        host.taken(now, event["tid"], event["tierClass"], event.get("realm"), tenths(event["dueMs"]),
-                   event.get("effortMs", 0.0) * 10, event.get("slots", 1))
+        host.taken(
+            now,
+            event["tid"],
+            event["tierClass"],
+            event.get("realm"),
+            tenths(event["dueMs"]),
+            event.get("effortMs", 0.0) * 10,
+            event.get("slots", 1),
+        )
     elif name == "pong":
-        host.probed(now, event["executor"], OUTCOMES.get(event["reason"], ledger.FAULT),
-                    *reported(fields, event.get("feedback")))
+        host.probed(
+            now,
+            event["executor"],
+            OUTCOMES.get(event["reason"], ledger.FAULT),
+            *reported(fields, event.get("feedback")),
+        )
     elif name == "rosterChange":
         if event["form"] == "broken":
             host.unlisted(now)
         else:
-            host.listed(now, event["form"] != "patch", [
-                (row["executor"], row.get("failureDomain"), row.get("kind"), row.get("stripe"),
-                 STATES.get(row.get("availability"), "gone"), tenths(row.get("bornMs", 0)),
-                 row.get("capacityHint", 1))
-                for row in event.get("hosts") or []])
+            host.listed(
+                now,
+                event["form"] != "patch",
+                [
+                    (
+                        row["executor"],
+                        row.get("failureDomain"),
+                        row.get("kind"),
+                        row.get("stripe"),
+                        STATES.get(row.get("availability"), "gone"),
+                        tenths(row.get("bornMs", 0)),
+                        row.get("capacityHint", 1),
+                    )
+                    for row in event.get("hosts") or []
+                ],
+            )
     elif name == "memo":
         words.deliver(host, now, event["by"], b64decode(event["contents"]))
     elif name == "vanished":
@@ -61,8 +98,14 @@
 def action(node, decision):
     kind = decision[0]
     if kind == "forward":
-        return {"relay": {"node": node, "tid": decision[1], "executor": decision[2],
-                          "allowForMs": decision[3] / 10}}
+        return {
+            "relay": {
+                "node": node,
+                "tid": decision[1],
+                "executor": decision[2],
+                "allowForMs": decision[3] / 10,
+            }
+        }
     if kind == "probe":
         return {"healthCheck": {"node": node, "executor": decision[1]}}
     if kind == "tell":
@@ -85,7 +128,7 @@
     """All events of a batch first, then each touched instance's decisions, in order of first mention."""
     out, touched, dead = [], {}, {}
     for message in events:
-        (name, event), = message.items()
+        ((name, event),) = message.items()
         node = event["node"]
         touched[node] = None
         try:
--- a/grebedyke/brain.py
+++ b/grebedyke/brain.py
@@ -2,6 +2,7 @@
 
 A host feeds one Dispatcher with what happens, then pulls decide(now) until it gives None. The calls stand in
 grebedyke/ledger/__init__.py; docs/design.md says what follows the TAGS paper and when a departure acts."""
+
 from collections import deque
 from heapq import heappop, heappush
 from itertools import islice
@@ -13,7 +14,7 @@
 
 SECOND = 10_000
 # A keeper that says nothing for so long is taken for dead; what it lent and never hears of is its own again.
-PATIENCE, LEASE, FOREVER = SECOND // 10, 4 * SECOND, 2 ** 62
+PATIENCE, LEASE, FOREVER = SECOND // 10, 4 * SECOND, 2**62
 
 
 class Cutoffs:
@@ -21,20 +22,20 @@
 
     def __init__(self, chance, nodes, refit=10 * SECOND, generations=24):
         self.chance, self.nodes, self.refit, self.generations = chance, nodes, refit, generations
-        self.sizes, self.capped = deque(maxlen=400), deque(maxlen=200)    # finished; at which a job was cut
+        self.sizes, self.capped = deque(maxlen=400), deque(maxlen=200)  # finished; at which a job was cut
         self.kept = self.freed = self.trials = 0  # what cancels of running work were seen to do to the slot
-        self.arrivals, self.loose = Ring(SECOND, 4), 1.0      # loose: the share that may not be cut
+        self.arrivals, self.loose = Ring(SECOND, 4), 1.0  # loose: the share that may not be cut
         self.at, self.left, self.why, self.best, self.share = 0, 0, "", None, 0.0
 
     @staticmethod
     def fit(sizes, capped=()):
         """Most likely (k, p, alpha) of a Bounded Pareto; a cut job only says that it is above its cutoff."""
         # The smallest times say more of the tick than of the jobs; above a higher k the law is the same.
-        sizes = sorted(sizes)[len(sizes) // 20:]
+        sizes = sorted(sizes)[len(sizes) // 20 :]
         k, n, a = sizes[0], len(sizes), 1.0
         p = max(max(sizes), max(capped, default=0) * 1.01, k * 1.01)
         logs = sum(log(max(x / k, 1.0)) for x in (*sizes, *capped))
-        for _ in range(30):      # slope of the likelihood 0: n / a = logs + n log(p/k) / ((p/k)^a - 1)
+        for _ in range(30):  # slope of the likelihood 0: n / a = logs + n log(p/k) / ((p/k)^a - 1)
             a = (a + min(n / (logs + n * log(p / k) / ((p / k) ** a - 1)), 3.0)) / 2
         return k, p, a
 
@@ -42,7 +43,7 @@
     def moment(law, j, low, high):
         """Integral of x^j over the density from low to high; at alpha = j the power form turns into a log."""
         k, p, a = law
-        c = a * k ** a / (1 - (k / p) ** a)
+        c = a * k**a / (1 - (k / p) ** a)
         return c * (log(high / low) if abs(a - j) < 1e-6 else (low ** (j - a) - high ** (j - a)) / (a - j))
 
     def score(self, law, cuts, tiers, rate, ignored=0.0, fixed=0.0):
@@ -54,13 +55,13 @@
             ends, above = self.moment(law, 0, low, high), self.moment(law, 0, high, p)
             visit = [0.0, 0.0]
             for j in (1, 2):
-                longer = ignored * self.moment(law, j, high, p) + (1 - ignored) * above * high ** j
+                longer = ignored * self.moment(law, j, high, p) + (1 - ignored) * above * high**j
                 visit[j - 1] = (1 - fixed) * (self.moment(law, j, low, high) + longer)
                 visit[j - 1] += fixed * self.moment(law, j, edges[0], p) if i == 0 else 0.0
             load = rate * visit[0] / power if power > 0 else inf
             if load >= 1:
                 return inf
-            before += rate * visit[1] * workers / power ** 2 / (2 * (1 - load))
+            before += rate * visit[1] * workers / power**2 / (2 * (1 - load))
             total += before * ((1 - fixed) * ends + (fixed if i == 0 else 0.0))
             before += high * workers / power
         return total
@@ -93,17 +94,21 @@
             # The model is rough: cutting must promise clearly less waiting than leaving jobs alone.
             self.best = cuts if wait < 0.8 * plain else None
             self.why = "%s: cut at %d ms, wait %.1f ms, random %.1f ms" % (
-                "cutting" if self.best else "random spread", cuts[0] / 10, wait / 10, plain / 10)
+                "cutting" if self.best else "random spread",
+                cuts[0] / 10,
+                wait / 10,
+                plain / 10,
+            )
             return True
-        n, self.pool = len(ranked), [c for _, c in ranked[:2]]      # elitism
-        while len(self.pool) < n:      # the paper's odds for the i-th ranked
+        n, self.pool = len(ranked), [c for _, c in ranked[:2]]  # elitism
+        while len(self.pool) < n:  # the paper's odds for the i-th ranked
             self.pool.append(self.mutate(ranked[n - 1 - int((self.chance.draw() * n * n) ** 0.5)][1]))
         return False
 
     def mutate(self, cuts):
         (k, p, _), i = self.law, int(self.chance.draw() * len(cuts))
         low, high = [k, *cuts][i], [*cuts, p][i + 1]
-        return cuts[:i] + [low * (high / low) ** self.chance.draw()] + cuts[i + 1:]
+        return cuts[:i] + [low * (high / low) ** self.chance.draw()] + cuts[i + 1 :]
 
 
 class Fleet(Roster):
@@ -134,7 +139,7 @@
 
     def spare(self, e, now):
         """Rule 4 counts all nodes: each sends a young one its part of half the multiple, first by turns."""
-        rate = max(self.sends.total(now, 4), self.sends.total(now) / 4, 1)      # else it feeds on itself
+        rate = max(self.sends.total(now, 4), self.sends.total(now) / 4, 1)  # else it feeds on itself
         part = self.multiple / 2 * self.warmth(e, now) * rate
         # By the list's weights where it is a small one: it falls at less than the mean does.
         gap = max(len(self.listed), self.heft / e.weight) * 4 * SECOND / part
@@ -150,8 +155,9 @@
         # Own work that waits there says that it is full now, whatever credit it had earned before. Begun
         # work of which no note comes: hung, cut off or dead; a slow one still sends its notes.
         gap, start = 1.4 * self.progress or 3 * SECOND, self.quick + max(x for x in (0, *e.floor) if x < inf)
-        return all(now <= (max(e.heard, f.sent) + gap if f.began else f.sent + start + f.far)
-                   for f in e.out.values())
+        return all(
+            now <= (max(e.heard, f.sent) + gap if f.began else f.sent + start + f.far) for f in e.out.values()
+        )
 
     def keeper(self, group, now, silent=False):
         """The node by whose book a group is lent: by hash; while no word comes of it the next one."""
@@ -193,7 +199,7 @@
             e.credit = min(e.credit + min(1 / e.credit, e.credit / 2), 64.0)
         elif wait > 2 * self.quick and now > e.trimmed and self.trims.total(now) * 2 <= len(self.listed):
             # When all are slow at once the cause is not this executor: then most keep their credit.
-            runs = sum(g.began > 0 for g in e.out.values())      # so many slots are this node's just now
+            runs = sum(g.began > 0 for g in e.out.values())  # so many slots are this node's just now
             e.trimmed = now + SECOND // 2
             e.credit = max(0.1, runs, e.credit * max(0.4, 2 * self.quick / wait))
             self.trims.add(now)
@@ -234,7 +240,7 @@
         if outcome == FULL:
             # Some turn away one operation only. Where all workers do, its work waits here: the design's hold.
             e.full[op] = now + SECOND
-            self.sends.add(now, -1)      # sent on and on under overload, it would make all parts grow
+            self.sends.add(now, -1)  # sent on and on under overload, it would make all parts grow
             e.credit = max(1.0, min(e.credit, e.used)) if min(e.full.values()) > now else e.credit
         elif outcome not in (CANCELLED, MOOT):
             # Written off, but tried again at a bounded, growing distance with a single forward. Errors too:
@@ -302,7 +308,7 @@
         self.means, self.bounds, self.tells = means, bounds, self.fleet.split > 0
         self.invs, self.held, self.cuts, self.probed = {}, {}, [], self.fleet.probed
         self.alarm, self.flow, self.count, self.seen, self.ask_at, self.ask_fails = 0, None, 0, 0, 0, 0
-        self.words, self.asked, self.leases, self.number = deque(), {}, deque(), int(chance.draw() * 2 ** 31)
+        self.words, self.asked, self.leases, self.number = deque(), {}, deque(), int(chance.draw() * 2**31)
 
     def listed(self, now, whole, rows):
         self.fleet.update(now, whole, rows)
@@ -315,14 +321,14 @@
     def unlisted(self, now):
         """At start or after a failed ask: spread by the number of nodes; widely only after a failure."""
         if self.means.asks:
-            spread = SECOND * min(0.05 * self.fleet.nodes, 2) * 2 ** self.ask_fails
+            spread = SECOND * min(0.05 * self.fleet.nodes, 2) * 2**self.ask_fails
             self.ask_fails = min(self.ask_fails + 1, 3)
             self.ask_at = now + int(spread * self.chance.draw()) + 1
 
     def taken(self, now, id, operation, tenant, due, hint, slots, asker=None):
         op, fleet = self.operations[operation], self.fleet
         size = hint or op.mean or fleet.quick
-        over = not self.tells and self.shares.over(now, tenant)      # else its keeper tells
+        over = not self.tells and self.shares.over(now, tenant)  # else its keeper tells
         inv = self.invs[id] = Invocation(id, op, now, due, size, hint, slots, over, tenant, asker)
         fleet.widest = max(fleet.widest, slots)
         spare = max(0.0, op.stretch - 1 / fleet.pace) * size * 0.7
@@ -340,7 +346,7 @@
             self.cutoffs.loose += 0.05 * (fixed - self.cutoffs.loose)
             self.hold(inv)
             if self.shares.limits and (back := self.shares.limits.take(now, inv)):
-                inv.latest, inv.back = now, back      # over one of the whole fleet's: answered at once
+                inv.latest, inv.back = now, back  # over one of the whole fleet's: answered at once
         return inv
 
     def hold(self, inv):
@@ -348,7 +354,7 @@
         inv.key, inv.held = -self.count, True
         self.held[inv] = None
         if self.tells and inv.asker is None:
-            self.number = (self.number + 1) % 2 ** 32
+            self.number = (self.number + 1) % 2**32
             self.asked[self.number] = inv.ask_anew(self.number)
 
     def bid(self, now, id, rank, left, size, tenant, slots, tier, op, again, over):
@@ -356,7 +362,7 @@
         e, known = self.fleet.ranks.get(rank), id in self.invs or len(self.invs) >= self.bounds.most
         if self.tells and e and op < len(self.ops) and not known:
             tenant = self.shares.tenants[tenant] if tenant < len(self.shares.tenants) else None
-            left, slots = min(left, self.ops[op].timeout), min(max(slots, 1), 64)      # whatever a node says
+            left, slots = min(left, self.ops[op].timeout), min(max(slots, 1), 64)  # whatever a node says
             inv = self.taken(now, id, self.ops[op].name, tenant, now + left, min(size, left), slots, id[0])
             inv.tier, inv.group = min(tier, 1), e.group
             # Whose traffic is beyond its share shows here, where a zone's work comes together.
@@ -484,8 +490,13 @@
             yield from self.place(now)
             # Each wake costs CPU: what waits for a word wakes at its own time, what is kept by what ends.
             soon = now + 4 * self.tick
-            at = [max(min(inv.latest, now + SECOND // 10 if inv.group else inv.ask_at), now + self.tick)
-                  if self.tells else soon for inv in self.held if inv.held]
+            at = [
+                max(min(inv.latest, now + SECOND // 10 if inv.group else inv.ask_at), now + self.tick)
+                if self.tells
+                else soon
+                for inv in self.held
+                if inv.held
+            ]
             wake = min(now + SECOND, self.ask_at or inf, soon if self.cuts or self.cutoffs.left else inf, *at)
             if self.alarm <= now or wake < self.alarm - self.tick:
                 self.alarm = wake
@@ -520,7 +531,7 @@
                 if inv.asker is None:
                     yield self.give_up(inv, now)
                 else:
-                    self.finish(inv)      # its own node answers it
+                    self.finish(inv)  # its own node answers it
                 continue
             if self.tells and inv.asker is None and not inv.lent and now >= inv.ask_at:
                 yield from self.borrow(inv, now)
@@ -546,7 +557,7 @@
                 f = Forward(inv, e, now, lender)
                 fleet.sends.add(now)
                 self.asked.pop(inv.number, None)
-                if not self.means.starts:      # the design's second clock: the send plus the modelled wait
+                if not self.means.starts:  # the design's second clock: the send plus the modelled wait
                     self.clock(f, now + int(e.wait))
                 if e in some and not thin and not fleet.ready(e, now):
                     some.remove(e)
@@ -586,8 +597,21 @@
             else:
                 inv.asking, inv.ask_at = group, now + PATIENCE
                 tenant = [*self.shares.tenants, inv.tenant].index(inv.tenant)
-                yield ("tell", to, "ask", inv.number, fleet.groups[group][0].rank, inv.due - now, inv.size,
-                       tenant, inv.slots, inv.tier, self.ops.index(inv.op), inv.rounds > 0, inv.over)
+                yield (
+                    "tell",
+                    to,
+                    "ask",
+                    inv.number,
+                    fleet.groups[group][0].rank,
+                    inv.due - now,
+                    inv.size,
+                    tenant,
+                    inv.slots,
+                    inv.tier,
+                    self.ops.index(inv.op),
+                    inv.rounds > 0,
+                    inv.over,
+                )
             inv.rounds += 1
 
     def leave(self, inv):
@@ -605,8 +629,11 @@
         side = [e for e in left if (e.zone != fleet.zone) == inv.abroad] or left
         # First those where own work started at once and ended lately; short jobs have turned that over.
         keep, young = self.chance.draw() * SECOND < 2 * fleet.mean, now - fleet.ramp
-        known = [e for e in side if keep and not e.out and now < e.heard + 4 * SECOND
-                 and e.born < young and e.wait <= fleet.quick]
+        known = [
+            e
+            for e in side
+            if keep and not e.out and now < e.heard + 4 * SECOND and e.born < young and e.wait <= fleet.quick
+        ]
         # Young ones whose budget has come go before all: with many, the few old would else carry everything.
         turn = [e for e in side if e.born >= young and self.suits(inv, e, now) and fleet.ready(e, now)]
         for _ in range(32 if side else 0):
@@ -622,7 +649,8 @@
         """Whether a further forward may still come of it; the budget is this node's, not its keeper's."""
         fleets = not self.shares.limits or self.shares.limits.further(now, inv)
         return (inv.asker is not None or self.budget.left(now)[0] >= 1 and fleets) and any(
-            self.allowed(inv, e, now) for e in self.fleet.listed)
+            self.allowed(inv, e, now) for e in self.fleet.listed
+        )
 
     def allowed(self, inv, e, now):
         """Rule 2: what may have run goes again only where a repeat is dropped, within the window."""
@@ -636,13 +664,17 @@
         return inv.op.group == "all" or getattr(e, inv.op.group) == getattr(first.tgt, inv.op.group)
 
     def suits(self, inv, e, now):
-        return ((not self.cutoffs.best or e.tier == inv.tier) and e.full.get(inv.op, 0) <= now
-                and inv.op.kind in (None, e.kind) and (not inv.forwards or self.allowed(inv, e, now)))
+        return (
+            (not self.cutoffs.best or e.tier == inv.tier)
+            and e.full.get(inv.op, 0) <= now
+            and inv.op.kind in (None, e.kind)
+            and (not inv.forwards or self.allowed(inv, e, now))
+        )
 
     def choose(self, inv, free, now, thin):
         fleet = self.fleet
         pool = [e for e in free if self.suits(inv, e, now)]
-        if inv.slots > 1 and 2 * now < inv.arrived + inv.latest:      # a queue's head blocks it
+        if inv.slots > 1 and 2 * now < inv.arrived + inv.latest:  # a queue's head blocks it
             pool = [e for e in pool if e.used + inv.slots <= max(e.credit * fleet.warmth(e, now), inv.slots)]
         if not thin and not self.tells:
             near = [e for e in pool if e.zone == fleet.zone]
--- a/grebedyke/commands/fleet.py
+++ b/grebedyke/commands/fleet.py
@@ -1,4 +1,5 @@
 """What operators and maintainers type about the fleet: plans, members, and rounds under faults."""
+
 import asyncio
 import json
 import time
@@ -37,8 +38,14 @@
     return text
 
 
-node = click.option("--node", "nodes", multiple=True, required=True, metavar="HOST:PORT",
-                    help="A node's operators' address; several times: the next is asked where one is silent.")
+node = click.option(
+    "--node",
+    "nodes",
+    multiple=True,
+    required=True,
+    metavar="HOST:PORT",
+    help="A node's operators' address; several times: the next is asked where one is silent.",
+)
 
 
 @click.group()
@@ -59,6 +66,7 @@
     """Gives the fleet the plan in the file PATH (JSON or TOML). Given twice it is the same plan."""
     from grebedyke.checks import Unusable
     from grebedyke.service.configuration import parse_plain
+
     try:
         said = parse_plain(Path(path).read_bytes(), path)
     except OSError as problem:
@@ -116,8 +124,10 @@
     """Who votes, and whether the asked node does."""
     said = json.loads(told(nodes, "GET", "/v1/agreement"))
     voters, why = " ".join(map(str, said["members"])), said["why"] or "since its start"
-    click.echo(f"voters {voters}  epoch {said['epoch']}  this node: {said['phase']} ({why})  "
-               f"disk failures {said['disk_failures']}")
+    click.echo(
+        f"voters {voters}  epoch {said['epoch']}  this node: {said['phase']} ({why})  "
+        f"disk failures {said['disk_failures']}"
+    )
 
 
 def change(word, what):
@@ -145,8 +155,10 @@
     for row in said["limits"]:
         on = " ".join(x for x in (row["tenant"], row["operation"], row["further"] and "again") if x) or "all"
         used = f"under way {row['under_way']}" if row["kind"] == "under way" else f"burst {row['burst']}"
-        click.echo(f"{row['name']:20} {on:20} {row['limit']:g} {row['kind']}  here {row['floor']:g} + "
-                   f"{row['share']:g}  {used}  passed {row['passed']}  denied {row['denied']}")
+        click.echo(
+            f"{row['name']:20} {on:20} {row['limit']:g} {row['kind']}  here {row['floor']:g} + "
+            f"{row['share']:g}  {used}  passed {row['passed']}  denied {row['denied']}"
+        )
 
 
 @click.command()
@@ -158,10 +170,18 @@
 @click.option("--simulated", is_flag=True, help="In simulated time, without processes: thousands of rounds.")
 @click.option("--limits", is_flag=True, help="Simulated rounds of the fleet's limits, not of a plan.")
 @click.option("--build", "broken_build", help="A build broken on purpose (simulated), which must be caught.")
-@click.option("--older", type=click.Path(file_okay=False, exists=True, resolve_path=True),
-              help="The tree of another version: each start of a node draws which of the two runs.")
-@click.option("--keep", default="found", show_default=True, type=click.Path(file_okay=False),
-              help="Where a round that broke something is kept.")
+@click.option(
+    "--older",
+    type=click.Path(file_okay=False, exists=True, resolve_path=True),
+    help="The tree of another version: each start of a node draws which of the two runs.",
+)
+@click.option(
+    "--keep",
+    default="found",
+    show_default=True,
+    type=click.Path(file_okay=False),
+    help="Where a round that broke something is kept.",
+)
 def torture(seed, rounds, processes, seconds, beside, simulated, limits, broken_build, older, keep):
     """Plays rounds of a fleet under drawn faults on this machine; exit code 3 where an invariant broke.
 
@@ -171,6 +191,7 @@
       grebedyke torture --simulated --rounds 2000 --beside 8
     """
     from grebedyke.rig import broken
+
     builds = broken.LIMITS if limits else broken.BUILDS
     if limits and not simulated:
         fail("--limits goes with --simulated")
@@ -178,8 +199,10 @@
         fail(f"--build is one of these, with --simulated: {'; '.join(builds)}")
     start, failed, done = time.monotonic(), 0, {}
     with ProcessPoolExecutor(beside) as pool:
-        waiting = [pool.submit(one_round, s, processes, seconds, simulated, limits, broken_build, older)
-                   for s in range(seed, seed + rounds)]
+        waiting = [
+            pool.submit(one_round, s, processes, seconds, simulated, limits, broken_build, older)
+            for s in range(seed, seed + rounds)
+        ]
         try:
             for n, ready in enumerate(as_completed(waiting), 1):
                 its_seed, found, counts, logs = ready.result()
@@ -206,11 +229,13 @@
         from contextlib import nullcontext
 
         from grebedyke.rig import broken, limited, world
+
         with broken.build(broken_build) if broken_build else nullcontext():
             voters = 3 if processes < 7 else 5
             found, played = (limited if limits else world).play(seed, nodes=processes, voters=voters)
         return seed, [[str(x) for x in row] for row in found], dict(played.done), {}
     from grebedyke.rig import rounds
+
     played = asyncio.run(rounds.play(seed, processes=processes, seconds=seconds, older=older))
     return seed, [[str(x) for x in row] for row in played.broken], dict(played.done), played.logs
 
--- a/grebedyke/commands/main.py
+++ b/grebedyke/commands/main.py
@@ -1,4 +1,5 @@
 """grebedyke COMMAND: what people type. Exit codes: 0, 1 cannot serve, 2 bad input, 3 a rule was broken."""
+
 import asyncio
 import json
 import os
@@ -12,6 +13,7 @@
 from grebedyke.commands.scale import scale
 from grebedyke.fleetlog import reading, showing, summing
 
+
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 def cli():
     """Dispatcher that pushes jobs of unknown size to tiers of workers (TAGS).
@@ -34,6 +36,7 @@
 def run(log_level, log_format):
     """One node in the foreground, told all by BALANCER_CONFIG and the environment (see README)."""
     from grebedyke.service.start import node_of
+
     sys.exit(node_of(os.environ, log_level, False, log_format))
 
 
@@ -52,6 +55,7 @@
     """
     from grebedyke.service import configuration
     from grebedyke.service.configuration import schema as known
+
     if schema:
         for line in known.page(configuration.all_keys()):
             click.echo(line)
@@ -72,6 +76,7 @@
 def where(path, problem):
     """File, line, key and reason in one line."""
     from grebedyke.service.configuration import spelled
+
     text = str(problem).replace("BALANCER_CONFIG ", "").replace("BALANCER_CONFIG: ", "")
     if not path or not problem.path:
         return f"{path}: {text}" if path else str(problem)
@@ -137,6 +142,7 @@
 
 def finish(told, json_path):
     from grebedyke.load import report
+
     for line in report.text(told):
         click.echo(line)
     if json_path:
@@ -161,6 +167,7 @@
     """
     from grebedyke.load import report
     from grebedyke.load.demo import demo as play
+
     try:
         clients, broken = asyncio.run(play(click.echo, seconds, rate, seed, nodes, executors))
     except KeyboardInterrupt:
@@ -171,29 +178,72 @@
 
 
 @cli.command()
-@click.option("--node", "nodes", multiple=True, required=True, metavar="NAME=HOST:PORT",
-              help="Where to hand in; NAME begins the ids, by which stand-ins call back. Several times.")
-@click.option("--executor", "executors", multiple=True, metavar="HOST:PORT",
-              help="A stand-in executor, asked at the end what took effect there. Several times.")
-@click.option("--operation", "operations", multiple=True, default=("view:safe",), show_default=True,
-              metavar="NAME:EFFECT[:SHARE]", help="EFFECT: safe, keyed or unsafe.")
+@click.option(
+    "--node",
+    "nodes",
+    multiple=True,
+    required=True,
+    metavar="NAME=HOST:PORT",
+    help="Where to hand in; NAME begins the ids, by which stand-ins call back. Several times.",
+)
+@click.option(
+    "--executor",
+    "executors",
+    multiple=True,
+    metavar="HOST:PORT",
+    help="A stand-in executor, asked at the end what took effect there. Several times.",
+)
+@click.option(
+    "--operation",
+    "operations",
+    multiple=True,
+    default=("view:safe",),
+    show_default=True,
+    metavar="NAME:EFFECT[:SHARE]",
+    help="EFFECT: safe, keyed or unsafe.",
+)
 @click.option("--tenant", "tenants", multiple=True, default=("t",), show_default=True)
-@click.option("--arrivals", default="poisson", show_default=True,
-              type=click.Choice(("poisson", "burst", "trace")))
+@click.option(
+    "--arrivals", default="poisson", show_default=True, type=click.Choice(("poisson", "burst", "trace"))
+)
 @click.option("--trace", type=click.Path(dir_okay=False), help="Seconds, one a line, for --arrivals trace.")
 @click.option("--rate", default=20.0, show_default=True, type=click.FloatRange(0.1, 10_000), help="A second.")
 @click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(0.1, 3600))
-@click.option("--sizes", default="exponential", show_default=True,
-              type=click.Choice(("constant", "exponential", "lognormal", "pareto")))
+@click.option(
+    "--sizes",
+    default="exponential",
+    show_default=True,
+    type=click.Choice(("constant", "exponential", "lognormal", "pareto")),
+)
 @click.option("--mean-ms", default=100.0, show_default=True, type=click.FloatRange(0.1, 60_000))
 @click.option("--timeout-ms", default=4000.0, show_default=True, type=click.FloatRange(10, 60_000))
 @click.option("--retries", default=1, show_default=True, type=click.IntRange(0, 10))
-@click.option("--leaving", default=0.0, show_default=True, type=click.FloatRange(0, 1),
-              help="Share of clients that go away before their answer.")
+@click.option(
+    "--leaving",
+    default=0.0,
+    show_default=True,
+    type=click.FloatRange(0, 1),
+    help="Share of clients that go away before their answer.",
+)
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "json_path", type=click.Path(dir_okay=False), help="The summary to this file.")
-def load(nodes, executors, operations, tenants, arrivals, trace, rate, seconds, sizes, mean_ms, timeout_ms,
-         retries, leaving, seed, json_path):
+def load(
+    nodes,
+    executors,
+    operations,
+    tenants,
+    arrivals,
+    trace,
+    rate,
+    seconds,
+    sizes,
+    mean_ms,
+    timeout_ms,
+    retries,
+    leaving,
+    seed,
+    json_path,
+):
     """Open-loop clients against running nodes, with a ledger that judges the rules; loopback only.
 
     \b
@@ -202,13 +252,15 @@
     """
     from grebedyke.load import report, shape
     from grebedyke.standin import talk
+
     try:
         places = {name: talk.place(where) for name, _, where in (text.partition("=") for text in nodes)}
         ends = [talk.place(text) for text in executors]
         known = [operation(text, timeout_ms / 1000) for text in operations]
         times = [float(line) for line in open(trace)] if trace else []
-        plan = shape.arrivals(seed, arrivals, rate, seconds, sizes, mean_ms / 1000, known, tenants, leaving,
-                              times)
+        plan = shape.arrivals(
+            seed, arrivals, rate, seconds, sizes, mean_ms / 1000, known, tenants, leaving, times
+        )
     except OSError as problem:
         fail(f"{problem.filename}: {problem.strerror}")
     except ValueError as problem:
@@ -219,6 +271,7 @@
 
 def operation(text, timeout):
     from grebedyke.load import shape
+
     name, _, rest = text.partition(":")
     effect, _, share = rest.partition(":")
     if not name or effect not in ("safe", "keyed", "unsafe"):
@@ -229,6 +282,7 @@
 async def hand_in(places, ends, plan, seed, retries, known):
     from grebedyke.load.clients import Clients
     from grebedyke.standin import talk
+
     clients = Clients(places, seed=seed, retries=retries)
     playing = asyncio.ensure_future(clients.play(plan))
     while not playing.done():
@@ -253,15 +307,23 @@
 @stand_in.command("executor")
 @click.option("--name", required=True)
 @click.option("--listen", default="127.0.0.1:0", show_default=True, metavar="HOST:PORT")
-@click.option("--node", "nodes", multiple=True, required=True, metavar="NAME=HOST:PORT",
-              help="Where news of jobs go whose ids begin with NAME-.")
+@click.option(
+    "--node",
+    "nodes",
+    multiple=True,
+    required=True,
+    metavar="NAME=HOST:PORT",
+    help="Where news of jobs go whose ids begin with NAME-.",
+)
 @click.option("--slots", default=4, show_default=True, type=click.IntRange(1, 1024))
 @click.option("--queue", default=16, show_default=True, type=click.IntRange(0, 100_000))
 @click.option("--speed", default=1.0, show_default=True, type=click.FloatRange(0.01, 100))
-@click.option("--cold", default=0.3, show_default=True, type=click.FloatRange(0.01, 1),
-              help="Share at the start.")
-@click.option("--ramp", default=8.0, show_default=True, type=click.FloatRange(0, 3600),
-              help="Seconds to warm.")
+@click.option(
+    "--cold", default=0.3, show_default=True, type=click.FloatRange(0.01, 1), help="Share at the start."
+)
+@click.option(
+    "--ramp", default=8.0, show_default=True, type=click.FloatRange(0, 3600), help="Seconds to warm."
+)
 @click.option("--fault", "faults", multiple=True, metavar="KIND[@SECONDS[+SECONDS]][%PERCENT]")
 @click.option("--seed", default=0, show_default=True)
 def executor(name, listen, nodes, slots, queue, speed, cold, ramp, faults, seed):
@@ -270,6 +332,7 @@
     from grebedyke.standin.executor import Executor
     from grebedyke.standin.faults import Script, fault
     from grebedyke.standin.model import Worker
+
     try:
         where = talk.place(listen)
         places = {key: talk.place(to) for key, _, to in (text.partition("=") for text in nodes)}
@@ -280,6 +343,7 @@
     async def serve():
         worker = Worker(slots, speed, queue, cold, ramp)
         await standing(Executor(name, places, worker, script), where)
+
     serve_until_stopped(serve())
 
 
@@ -291,6 +355,7 @@
     """Discovery that lists the named executors."""
     from grebedyke.standin import talk
     from grebedyke.standin.discovery import Discovery
+
     serves = Discovery(delay)
     try:
         where = talk.place(listen)
@@ -311,6 +376,7 @@
 
 def serve_until_stopped(work):
     import signal
+
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         asyncio.run(work)
@@ -320,8 +386,13 @@
         fail(f"cannot listen: {problem.strerror}", 1)
 
 
-for command in (fleet_commands.maintenance, fleet_commands.members, fleet_commands.limits_command,
-                fleet_commands.torture, scale):
+for command in (
+    fleet_commands.maintenance,
+    fleet_commands.members,
+    fleet_commands.limits_command,
+    fleet_commands.torture,
+    scale,
+):
     cli.add_command(command)
 
 
--- a/grebedyke/commands/say.py
+++ b/grebedyke/commands/say.py
@@ -1,4 +1,5 @@
 """What every command says in the same words."""
+
 import sys
 
 import click
--- a/grebedyke/fleetlog/reading.py
+++ b/grebedyke/fleetlog/reading.py
@@ -1,18 +1,22 @@
 """Log lines into times, nodes and counts. Whatever is no line of a node's is counted and passed over."""
+
 import re
 from datetime import datetime
 from pathlib import Path
 from typing import NamedTuple
 
 # A collector may have put its own clock before the line: seconds, the same for all nodes.
-FORM = re.compile(r"(?:(\d+\.\d+) )?"
-                  r"(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3})([+-]\d\d:?\d\d) ([A-Z]+) (\S+) (.*)")
+FORM = re.compile(
+    r"(?:(\d+\.\d+) )?"
+    r"(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3})([+-]\d\d:?\d\d) ([A-Z]+) (\S+) (.*)"
+)
 # What a line has beside counts: how things stand at its moment.
 LEVELS = "listed", "out", "held"
 
 
 class Line(NamedTuple):
     """`at`: seconds, of the clock that wrote it; `counts`, `levels`: by name, empty where it tells none."""
+
     at: float
     level: str
     node: str
--- a/grebedyke/fleetlog/showing.py
+++ b/grebedyke/fleetlog/showing.py
@@ -1,4 +1,5 @@
 """Rows as a table, as CSV and as a plot."""
+
 import csv
 
 
@@ -27,11 +28,15 @@
 def plot(path, rows):
     """Three panels over time; the library is an extra (`plots`) and is loaded here only."""
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
-    panels = (("taken", "succeeded", "throttled", "errored"),
-              ("forwards", "again", "probes", "connects", "lists"),
-              ("full", "reset", "timeout", "unconnected", "out"))
+
+    panels = (
+        ("taken", "succeeded", "throttled", "errored"),
+        ("forwards", "again", "probes", "connects", "lists"),
+        ("full", "reset", "timeout", "unconnected", "out"),
+    )
     figure, axes = pyplot.subplots(len(panels), sharex=True, figsize=(10, 9))
     for axis, names in zip(axes, panels):
         for name in names:
--- a/grebedyke/fleetlog/summing.py
+++ b/grebedyke/fleetlog/summing.py
@@ -1,4 +1,5 @@
 """What all nodes did, by spans of time. Plain sums: nothing here reads a file or a clock."""
+
 from collections import Counter, defaultdict
 
 from grebedyke.service.log import DEEDS, ENDS, OUTCOMES
@@ -16,7 +17,7 @@
 
     def __init__(self, span=1.0):
         self.span, self.odd = span, 0
-        self.told = defaultdict(list)      # by file and node: (at, counts, levels)
+        self.told = defaultdict(list)  # by file and node: (at, counts, levels)
         self.warnings, self.events = Counter(), Counter()
 
     def add(self, source, line):
@@ -53,8 +54,10 @@
         if not sums:
             return []
         first, last = int(min(sums)), int(max(sums))
-        return [((mark - first) * self.span, {name: sums[mark][name] for name in COLUMNS})
-                for mark in range(first, last + 1)]
+        return [
+            ((mark - first) * self.span, {name: sums[mark][name] for name in COLUMNS})
+            for mark in range(first, last + 1)
+        ]
 
     def total(self):
         whole = Counter()
@@ -89,5 +92,6 @@
     >>> pattern("discovery: version 12 after 14, the whole list")
     'discovery: version # after #, the whole list'
     """
-    return " ".join("#" + word.lstrip("0123456789") if word[:1].isdigit() else word
-                    for word in message.split())
+    return " ".join(
+        "#" + word.lstrip("0123456789") if word[:1].isdigit() else word for word in message.split()
+    )
--- a/grebedyke/ledger/__init__.py
+++ b/grebedyke/ledger/__init__.py
@@ -36,7 +36,15 @@
 IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT = "idempotent", "deduplicated", "non-idempotent"
 # Outcomes of a forward; those in UNRUN prove that it never ran.
 OK, FAULT, FULL, TIMEOUT, NO_CONNECTION, RESET, CANCELLED, MOOT = OUTCOMES = (
-    "ok", "fault", "full", "timeout", "no connection", "reset", "cancelled", "moot")
+    "ok",
+    "fault",
+    "full",
+    "timeout",
+    "no connection",
+    "reset",
+    "cancelled",
+    "moot",
+)
 UNRUN = frozenset((FULL, NO_CONNECTION, MOOT))
 
 
@@ -67,28 +75,77 @@
 
 
 class Operation:
-    __slots__ = ("name", "effect", "group", "window", "objective", "stretch", "value", "late_value", "kind",
-                 "mean",
-                 "span", "timeout")
-
-    def __init__(self, name, effect, group, window, objective, stretch, value, late_value=0.0, kind=None,
-                 timeout=50_000):
+    __slots__ = (
+        "name",
+        "effect",
+        "group",
+        "window",
+        "objective",
+        "stretch",
+        "value",
+        "late_value",
+        "kind",
+        "mean",
+        "span",
+        "timeout",
+    )
+
+    def __init__(
+        self,
+        name,
+        effect,
+        group,
+        window,
+        objective,
+        stretch,
+        value,
+        late_value=0.0,
+        kind=None,
+        timeout=50_000,
+    ):
         self.name, self.effect, self.group, self.window = name, effect, group, window
         self.objective, self.stretch, self.value, self.late_value = objective, stretch, value, late_value
         self.kind, self.mean, self.span, self.timeout = kind, 0.0, 0, timeout
 
 
 class Executor:
-    __slots__ = ("id", "rank", "zone", "kind", "cell", "born", "said", "state", "tier", "out", "credit",
-                 "work", "busy",
-                 "speed", "wait", "floor", "heard", "shut", "fails", "full", "cut", "trimmed", "used",
-                 "asked", "weight", "sent", "told", "group", "ahead")
+    __slots__ = (
+        "id",
+        "rank",
+        "zone",
+        "kind",
+        "cell",
+        "born",
+        "said",
+        "state",
+        "tier",
+        "out",
+        "credit",
+        "work",
+        "busy",
+        "speed",
+        "wait",
+        "floor",
+        "heard",
+        "shut",
+        "fails",
+        "full",
+        "cut",
+        "trimmed",
+        "used",
+        "asked",
+        "weight",
+        "sent",
+        "told",
+        "group",
+        "ahead",
+    )
 
     def __init__(self, id, rank):
         self.id, self.rank, self.heard, self.sent, self.tier, self.out = id, rank, -inf, -inf, 0, {}
         self.credit, self.speed, self.floor, self.born = 2.0, 1.0, [inf, inf], None
         self.work = self.busy = self.wait = self.ahead = 0.0
-        self.full = {}      # by operation: until when it is not asked, having turned that away
+        self.full = {}  # by operation: until when it is not asked, having turned that away
         self.shut = self.fails = self.cut = self.trimmed = self.used = self.asked = self.told = 0
         self.group = None
 
@@ -97,15 +154,40 @@
             # Restarted: what was known of its health is of its former life.
             self.shut, self.fails, self.full, self.credit = 0, 0, {}, min(self.credit, 2.0)
         self.zone, self.kind, self.cell, self.said, self.weight = zone, kind, cell, state, max(weight, 0.01)
-        self.born = born or -inf      # 0: long past
+        self.born = born or -inf  # 0: long past
 
 
 class Invocation:
-    __slots__ = ("id", "op", "arrived", "due", "size", "slots", "over", "latest", "first", "forwards", "out",
-                 "tier",
-                 "done", "held", "key", "hint",
-                 "rounds", "ask_at", "asked", "abroad",
-                 "asker", "number", "tried", "asking", "group", "lent", "tenant", "back")
+    __slots__ = (
+        "id",
+        "op",
+        "arrived",
+        "due",
+        "size",
+        "slots",
+        "over",
+        "latest",
+        "first",
+        "forwards",
+        "out",
+        "tier",
+        "done",
+        "held",
+        "key",
+        "hint",
+        "rounds",
+        "ask_at",
+        "asked",
+        "abroad",
+        "asker",
+        "number",
+        "tried",
+        "asking",
+        "group",
+        "lent",
+        "tenant",
+        "back",
+    )
 
     def __init__(self, id, op, arrived, due, size, hint, slots, over, tenant=None, asker=None):
         self.id, self.op, self.arrived, self.due = id, op, arrived, due
@@ -118,7 +200,7 @@
         # it.
         self.asker, self.tenant = asker, tenant
         self.number = self.asking = self.group = self.lent = None
-        self.tried, self.back = (), 0      # back: when to come back, where a limit says so
+        self.tried, self.back = (), 0  # back: when to come back, where a limit says so
 
     def ask_anew(self, number):
         self.number, self.tried, self.ask_at = number, set(), 0
@@ -127,8 +209,26 @@
 
 
 class Forward:
-    __slots__ = ("inv", "n", "tgt", "sent", "began", "cancelled", "done", "cut", "unrun", "guess",
-                 "opened", "lender", "number", "far", "news", "load", "told", "ahead")
+    __slots__ = (
+        "inv",
+        "n",
+        "tgt",
+        "sent",
+        "began",
+        "cancelled",
+        "done",
+        "cut",
+        "unrun",
+        "guess",
+        "opened",
+        "lender",
+        "number",
+        "far",
+        "news",
+        "load",
+        "told",
+        "ahead",
+    )
 
     def __init__(self, inv, tgt, sent, lender=None):
         self.inv, self.n, self.tgt = inv, len(inv.forwards), tgt
@@ -157,6 +257,7 @@
     >>> r.add(5, 2); r.add(12, 1); r.total(19), r.total(19, 1), r.total(30), r.total(99)
     (3, 1, 1, 0)
     """
+
     __slots__ = ("span", "spans", "marks", "sums")
 
     def __init__(self, span, spans):
@@ -188,8 +289,8 @@
 
     def draw(self):
         # A plain counter's digits leave crc32 lumpy; an odd multiple of it spreads over all its bits.
-        self.count = (self.count + 0x9E3779B97F4A7C15) % 2 ** 64
-        return crc32(self.count.to_bytes(8, "little"), self.seed) / 2 ** 32
+        self.count = (self.count + 0x9E3779B97F4A7C15) % 2**64
+        return crc32(self.count.to_bytes(8, "little"), self.seed) / 2**32
 
     def pick(self, things):
         return things[int(self.draw() * len(things))]
@@ -229,10 +330,15 @@
 
     def books(self):
         """What a process that goes on with this node's work has to know, in plain types; see `recall`."""
-        return {"rows": [(e.id, e.zone, e.kind, e.cell, e.said, max(e.born, 0), e.weight)
-                         for e in self.all.values()],
-                "banned": self.banned, "returned": self.returned, "names": [*self.names],
-                "sends": (self.sends.marks, self.sends.sums)}
+        return {
+            "rows": [
+                (e.id, e.zone, e.kind, e.cell, e.said, max(e.born, 0), e.weight) for e in self.all.values()
+            ],
+            "banned": self.banned,
+            "returned": self.returned,
+            "names": [*self.names],
+            "sends": (self.sends.marks, self.sends.sums),
+        }
 
     def recall(self, now, books):
         self.banned, self.returned = books["banned"], books["returned"]
--- a/grebedyke/ledger/door.py
+++ b/grebedyke/ledger/door.py
@@ -3,6 +3,7 @@
 
 class Owed:
     """An invocation as it came in, until its final answer is written and its forwards have ended."""
+
     __slots__ = ("id", "client", "line", "body", "due", "came", "flights", "open")
 
     def __init__(self, id, client, line, body, due, came):
@@ -15,6 +16,7 @@
 
     `untold`: it ended in a way of which nothing more can be told.
     """
+
     __slots__ = ("owed", "n", "endpoint", "call", "accepted", "began", "done", "untold", "again")
 
     def __init__(self, owed, endpoint):
--- a/grebedyke/load/clients.py
+++ b/grebedyke/load/clients.py
@@ -1,4 +1,5 @@
 """Clients that hand in at their own times, whatever becomes of what they handed in before."""
+
 import asyncio
 import json
 import random
@@ -8,7 +9,7 @@
 from grebedyke.load.ledger import THROTTLED, Ledger
 from grebedyke.standin import talk
 
-IDLE = 64      # kept connections to a node
+IDLE = 64  # kept connections to a node
 
 
 class Clients:
@@ -22,7 +23,7 @@
         self.nodes, self.ledger = dict(nodes), ledger or Ledger()
         self.random, self.retries, self.backoff = random.Random(seed), retries, backoff
         self.loop, self.idle = asyncio.get_running_loop(), {name: [] for name in self.nodes}
-        self.waits = HdrHistogram(1, 600_000, 3)      # tenths of a millisecond, of what succeeded
+        self.waits = HdrHistogram(1, 600_000, 3)  # tenths of a millisecond, of what succeeded
         self.number, self.late = 0, 0.0
 
     async def play(self, arrivals):
@@ -53,15 +54,20 @@
             entry.ended = self.loop.time()
             if back is None:
                 break
-            await asyncio.sleep(back or self.backoff * 2 ** again)
+            await asyncio.sleep(back or self.backoff * 2**again)
         if entry.answers and entry.answers[0][1] == 200:
             self.waits.record_value(max(int((entry.answers[0][0] - intended) * 10_000), 1))
 
     async def hand_in(self, name, arrival, entry, again):
         """Seconds until it may be handed in anew, 0 where the answer names none; None: it is over."""
         op, body = arrival.operation, json.dumps({"work_ms": arrival.work * 1000}).encode()
-        headers = {"X_Request_ID": entry.id, "X_Tenant_Id": arrival.tenant, "X_Priority_Class": op.name,
-                   "X_Timeout_Ms": int(op.timeout * 1000), "X_Cost": int(arrival.work * 1e6)}
+        headers = {
+            "X_Request_ID": entry.id,
+            "X_Tenant_Id": arrival.tenant,
+            "X_Priority_Class": op.name,
+            "X_Timeout_Ms": int(op.timeout * 1000),
+            "X_Cost": int(arrival.work * 1e6),
+        }
         headers |= {"Idempotency_Key": entry.key} if op.effect == "keyed" else {}
         headers |= {"X_Retried": 1} if again else {}
         reader = writer = None
@@ -89,7 +95,7 @@
         words, told, body = answer
         status = int(words[1])
         entry.answers.append((self.loop.time(), status, body))
-        if reader._buffer:      # noqa: SLF001 - bytes behind the whole answer: something was sent after it
+        if reader._buffer:  # noqa: SLF001 - bytes behind the whole answer: something was sent after it
             entry.answers.append((self.loop.time(), 0, b""))
         if told.get("connection", "").lower() == "close" or len(self.idle[name]) >= IDLE:
             writer.close()
--- a/grebedyke/load/demo.py
+++ b/grebedyke/load/demo.py
@@ -1,5 +1,6 @@
 """Three nodes, executors of two kinds and load on this machine; one executor dies and one hangs on the
 way."""
+
 import asyncio
 
 from grebedyke.load import shape
@@ -7,8 +8,11 @@
 from grebedyke.load.fleet import Fleet
 from grebedyke.standin.faults import Fault
 
-OPERATIONS = (shape.Operation("hold", "keyed", share=0.5), shape.Operation("confirm", "unsafe", share=0.3),
-              shape.Operation("view", "safe", share=0.2))
+OPERATIONS = (
+    shape.Operation("hold", "keyed", share=0.5),
+    shape.Operation("confirm", "unsafe", share=0.3),
+    shape.Operation("view", "safe", share=0.2),
+)
 
 
 async def demo(say, seconds=20.0, rate=40.0, seed=1, nodes=3, executors=6):
@@ -41,10 +45,12 @@
         await asyncio.wait([task], timeout=1.0)
         at = loop.time() - start
         now = clients.ledger.counts()
-        row = [now[name] - before.get(name, 0)
-               for name in ("taken", "succeeded", "throttled", "errored", "left")]
-        held = " ".join(f"{e.worker.report()['inflight']:2d}" if e.server else " x" for e in
-                        fleet.executors.values())
+        row = [
+            now[name] - before.get(name, 0) for name in ("taken", "succeeded", "throttled", "errored", "left")
+        ]
+        held = " ".join(
+            f"{e.worker.report()['inflight']:2d}" if e.server else " x" for e in fleet.executors.values()
+        )
         say("%4.0f %6d %10d %10d %8d %5d  %s" % (at, *row, held))
         before = now
         if at >= seconds * 0.3 and not killed:
--- a/grebedyke/load/fleet.py
+++ b/grebedyke/load/fleet.py
@@ -1,4 +1,5 @@
 """A small fleet on this machine: discovery, executors and nodes, to be tried by load."""
+
 import asyncio
 import json
 import os
@@ -15,7 +16,7 @@
 
 KINDS = {"full": 1.0, "slow": 0.6}
 ZONES = "a", "b"
-STARTS = 10.0      # seconds that nodes get to be ready
+STARTS = 10.0  # seconds that nodes get to be ready
 
 
 def free_port(host="127.0.0.1"):
@@ -26,25 +27,65 @@
 
 def settings(operations, nodes, me, zone, zones=ZONES):
     """A deployment as the platform would tell it: two operations or more, no messages between nodes."""
-    rows = [{"name": op.name, "idempotency": op.effect, "latencyObjectiveMs": 250, "group": "zone",
-             "windowMs": op.window * 1000, "clientTimeoutMs": op.timeout * 1000, "billedValue": 1.0}
-            for op in operations]
-    return {"balancers": nodes, "me": me, "tickMs": 5, "zone": zone, "zones": [*zones],
-            "machineTypes": [*KINDS], "operations": rows, "billedValueBy": "work",
-            "limits": {"maxForwards": 4, "connIdleMs": 5000, "connectTimeoutMs": 250, "mayCancel": True,
-                       "probes": True, "retryAfter": True, "maxRetryAfterMs": 2000},
-            "rules": {"coldFrom": 0.3, "rampTimeMs": 2000, "fallMultiple": 3, "tipAfterMs": 1000,
-                      "drainGraceMs": 2000},
-            "familyInfo": {"tellsStart": True, "progressMs": 0, "classStretch": [2.5] * len(operations)},
-            "telemetry": {"fields": ["x0", "rif"], "how": "inline"}, "registryMode": "push",
-            "parties": [{"name": "t", "quotaRps": 1000}]}
+    rows = [
+        {
+            "name": op.name,
+            "idempotency": op.effect,
+            "latencyObjectiveMs": 250,
+            "group": "zone",
+            "windowMs": op.window * 1000,
+            "clientTimeoutMs": op.timeout * 1000,
+            "billedValue": 1.0,
+        }
+        for op in operations
+    ]
+    return {
+        "balancers": nodes,
+        "me": me,
+        "tickMs": 5,
+        "zone": zone,
+        "zones": [*zones],
+        "machineTypes": [*KINDS],
+        "operations": rows,
+        "billedValueBy": "work",
+        "limits": {
+            "maxForwards": 4,
+            "connIdleMs": 5000,
+            "connectTimeoutMs": 250,
+            "mayCancel": True,
+            "probes": True,
+            "retryAfter": True,
+            "maxRetryAfterMs": 2000,
+        },
+        "rules": {
+            "coldFrom": 0.3,
+            "rampTimeMs": 2000,
+            "fallMultiple": 3,
+            "tipAfterMs": 1000,
+            "drainGraceMs": 2000,
+        },
+        "familyInfo": {"tellsStart": True, "progressMs": 0, "classStretch": [2.5] * len(operations)},
+        "telemetry": {"fields": ["x0", "rif"], "how": "inline"},
+        "registryMode": "push",
+        "parties": [{"name": "t", "quotaRps": 1000}],
+    }
 
 
 class Fleet:
     """Discovery, executors and nodes of one run; `node`: the command that starts one."""
 
-    def __init__(self, operations, nodes=3, executors=6, command=(sys.executable, "-m", "grebedyke"),
-                 faults=None, seed=0, slots=4, cold=0.3, zones=ZONES):
+    def __init__(
+        self,
+        operations,
+        nodes=3,
+        executors=6,
+        command=(sys.executable, "-m", "grebedyke"),
+        faults=None,
+        seed=0,
+        slots=4,
+        cold=0.3,
+        zones=ZONES,
+    ):
         self.operations, self.command, self.faults, self.seed = operations, command, faults or {}, seed
         self.count, self.slots, self.cold, self.host = executors, slots, cold, "127.0.0.1"
         self.zones = zones
@@ -93,17 +134,27 @@
         """Starts a node's process at the address that it has, and waits for nothing."""
         me = [*self.nodes].index(name)
         path = Path(self.folder.name, f"{name}.json")
-        path.write_text(json.dumps({
-            "name": name, "listen": "%s:%d" % self.nodes[name], "discovery": "%s:%d" % self.discovery.address,
-            "seed": f"{self.seed}-{name}", "known": self.discovery.listing(),
-            "settings": settings(self.operations, len(self.nodes), me, self.zones[me % len(self.zones)],
-                                 self.zones)}))
+        path.write_text(
+            json.dumps(
+                {
+                    "name": name,
+                    "listen": "%s:%d" % self.nodes[name],
+                    "discovery": "%s:%d" % self.discovery.address,
+                    "seed": f"{self.seed}-{name}",
+                    "known": self.discovery.listing(),
+                    "settings": settings(
+                        self.operations, len(self.nodes), me, self.zones[me % len(self.zones)], self.zones
+                    ),
+                }
+            )
+        )
         log = open(Path(self.folder.name, f"{name}.log"), "ab")
         environ = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
         environ |= {"BALANCER_CONFIG": str(path), "BALANCER_COUNTS": "1", "TMPDIR": self.folder.name}
         with log:
             process = await asyncio.create_subprocess_exec(
-                *self.command, env=environ, stderr=log, stdin=asyncio.subprocess.DEVNULL)
+                *self.command, env=environ, stderr=log, stdin=asyncio.subprocess.DEVNULL
+            )
         self.processes[name] = process
         return process
 
--- a/grebedyke/load/ledger.py
+++ b/grebedyke/load/ledger.py
@@ -1,4 +1,5 @@
 """What went in, what came out and what took effect, and which rules that breaks. No I/O; times in seconds."""
+
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
@@ -15,13 +16,14 @@
 
 class Entry:
     """One invocation as its client saw it; `key`: the mark that its repeats share."""
+
     __slots__ = ("id", "operation", "key", "intended", "sent", "answers", "ended", "left", "refused")
 
     def __init__(self, id, operation, key, intended):
         self.id, self.operation, self.key, self.intended = id, operation, key, intended
         self.sent = self.ended = None
-        self.answers = []      # (when, status, body)
-        self.left = self.refused = False      # its client went away; no connection took it
+        self.answers = []  # (when, status, body)
+        self.left = self.refused = False  # its client went away; no connection took it
 
 
 class Ledger:
@@ -59,8 +61,17 @@
                 continue
             count["taken"] += 1
             status = entry.answers[0][1] if entry.answers else 0
-            count["succeeded" if status == 200 else "throttled" if status in THROTTLED else
-                  "errored" if status else "lost" if entry.ended else "open"] += 1
+            count[
+                "succeeded"
+                if status == 200
+                else "throttled"
+                if status in THROTTLED
+                else "errored"
+                if status
+                else "lost"
+                if entry.ended
+                else "open"
+            ] += 1
         return count
 
     def judge(self):
@@ -75,9 +86,14 @@
             for at, executor in forwards:
                 told = self.drains.get(executor)
                 if told is not None and at > told + self.grace + SLACK:
-                    broken.append(Broken(3, id,
-                                         f"reached {executor} {at - told:.2f} s after the last node was "
-                                                "told that it drains or is gone"))
+                    broken.append(
+                        Broken(
+                            3,
+                            id,
+                            f"reached {executor} {at - told:.2f} s after the last node was "
+                            "told that it drains or is gone",
+                        )
+                    )
         return sorted(broken)
 
     def answered(self, entry):
@@ -89,8 +105,12 @@
             return
         at, status, body = entry.answers[0]
         if at > due:
-            yield Broken(1, entry.id, f"answered {at - entry.sent:.3f} s after it was sent, "
-                                      f"{entry.operation.timeout:g} s were its client's")
+            yield Broken(
+                1,
+                entry.id,
+                f"answered {at - entry.sent:.3f} s after it was sent, "
+                f"{entry.operation.timeout:g} s were its client's",
+            )
         if len(entry.answers) > 1:
             yield Broken(1, entry.id, f"answered {len(entry.answers)} times")
         if status == 200 and not self.forwards[entry.id]:
--- a/grebedyke/load/report.py
+++ b/grebedyke/load/report.py
@@ -1,4 +1,5 @@
 """A run as text and as JSON."""
+
 import json
 
 
@@ -8,9 +9,13 @@
     `broken`: None where they could not be judged, as nobody told what took effect.
     """
     judged, broken = broken is not None, broken or []
-    return {"judged": judged, "counts": dict(clients.ledger.counts()), "waits_ms": clients.percentiles(),
-            "tool_late_ms": round(clients.late * 1000, 1),
-            "broken": [{"rule": b.rule, "id": b.id, "what": b.what} for b in broken]}
+    return {
+        "judged": judged,
+        "counts": dict(clients.ledger.counts()),
+        "waits_ms": clients.percentiles(),
+        "tool_late_ms": round(clients.late * 1000, 1),
+        "broken": [{"rule": b.rule, "id": b.id, "what": b.what} for b in broken],
+    }
 
 
 def text(told):
--- a/grebedyke/load/shape.py
+++ b/grebedyke/load/shape.py
@@ -1,4 +1,5 @@
 """When invocations come and how large they are: laws drawn from a library's generators with a stated seed."""
+
 from typing import NamedTuple
 
 import numpy
@@ -10,6 +11,7 @@
 class Operation(NamedTuple):
     """`effect`: safe, keyed or unsafe, as the settings word it; `timeout`, `window`: seconds; `share`: of
     all."""
+
     name: str
     effect: str = "safe"
     timeout: float = 4.0
@@ -20,6 +22,7 @@
 class Arrival(NamedTuple):
     """`at`: seconds from the start; `work`: seconds at speed 1; `leaves`: seconds after which its client
     goes."""
+
     at: float
     operation: Operation
     tenant: str
@@ -63,12 +66,12 @@
     if law == "exponential":
         return random.exponential(mean, count)
     if law == "lognormal":
-        spread = numpy.log(1 + 1.5 ** 2)
-        return random.lognormal(numpy.log(mean) - spread / 2, spread ** 0.5, count)
+        spread = numpy.log(1 + 1.5**2)
+        return random.lognormal(numpy.log(mean) - spread / 2, spread**0.5, count)
     # By the inverse of the bounded law's distribution, from 1 to 1,000, then scaled to the mean.
     a, top = 1.5, 1000.0
-    drawn = (1 - random.uniform(size=count) * (1 - top ** -a)) ** (-1 / a)
-    usual = a / (a - 1) * (1 - top ** (1 - a)) / (1 - top ** -a)
+    drawn = (1 - random.uniform(size=count) * (1 - top**-a)) ** (-1 / a)
+    usual = a / (a - 1) * (1 - top ** (1 - a)) / (1 - top**-a)
     return drawn * mean / usual
 
 
@@ -86,5 +89,7 @@
     whose = random.integers(len(tenants), size=len(times))
     goes = random.uniform(size=len(times)) < leaving
     after = random.uniform(0.01, 0.5, len(times))
-    return [Arrival(t, operations[i], tenants[j], float(w), float(a) if g else None)
-            for t, w, i, j, g, a in zip(times, work, which, whose, goes, after)]
+    return [
+        Arrival(t, operations[i], tenants[j], float(w), float(a) if g else None)
+        for t, w, i, j, g, a in zip(times, work, which, whose, goes, after)
+    ]
--- a/grebedyke/rig/broken.py
+++ b/grebedyke/rig/broken.py
@@ -163,8 +163,11 @@
     ],
     "a shrunk limit is not withdrawn": [
         (Sharing, "lay_books", lambda self, now, anew=False: anew and honest_limits["lay"](self, now, anew)),
-        (meters.Meter, "retune", lambda self, limit, now: hasattr(self, "limit")
-         or honest_limits["retune"](self, limit, now)),
+        (
+            meters.Meter,
+            "retune",
+            lambda self, limit, now: hasattr(self, "limit") or honest_limits["retune"](self, limit, now),
+        ),
     ],
     "the newest grant is taken as received": [(books.Entry, "reckon", the_last_only)],
     "what a dead node sent is taken as ended": [(books.Books, "__init__", nothing_runs_on)],
@@ -179,8 +182,12 @@
 
 def answered_to_all(self, now, by, number, rev, agreed, process, epoch):
     """Its answer goes to every node instead of to the one that asked."""
-    send, self.send = self.send, lambda to, message: [
-        Part.send(self, v, message) for v in (range(self.nodes) if message[0] == "M" else [to])]
+    send, self.send = (
+        self.send,
+        lambda to, message: [
+            Part.send(self, v, message) for v in (range(self.nodes) if message[0] == "M" else [to])
+        ],
+    )
     try:
         honest["asked"](self, now, by, number, rev, agreed, process, epoch)
     finally:
--- a/grebedyke/rig/fleet.py
+++ b/grebedyke/rig/fleet.py
@@ -24,8 +24,19 @@
     """`words`: whether nodes lend each other executors as well; `older`: the tree of another version, each
     start draws which of the two runs; `shares`: the limits of the whole fleet, as in a configuration."""
 
-    def __init__(self, operations, nodes=5, executors=6, voters=3, seed=0, words=False, maintenance=True,
-                 older=None, zones=plain.ZONES, shares=None):
+    def __init__(
+        self,
+        operations,
+        nodes=5,
+        executors=6,
+        voters=3,
+        seed=0,
+        words=False,
+        maintenance=True,
+        older=None,
+        zones=plain.ZONES,
+        shares=None,
+    ):
         super().__init__(operations, nodes, executors, LAUNCH, seed=seed, zones=zones)
         self.older, self.shares = older, shares
         self.voters, self.words, self.maintenance = list(range(min(voters, nodes))), words, maintenance
--- a/grebedyke/rig/judge.py
+++ b/grebedyke/rig/judge.py
@@ -72,7 +72,8 @@
         never more under way. `late`: from a node's yes until the executor has it, in seconds."""
         for limit in shares:
             mine = {
-                id: entry for id, entry in ledger.entries.items()
+                id: entry
+                for id, entry in ledger.entries.items()
                 if limit.get("operation") in (None, entry.operation.name) and ledger.forwards[id]
             }
             came = sorted((min(at for at, _ in ledger.forwards[id]), id) for id in mine)
--- a/grebedyke/rig/limited.py
+++ b/grebedyke/rig/limited.py
@@ -95,16 +95,23 @@
         return [
             Limit("rate", RATE, rate, burst, floors[0], "t", None, False),
             Limit("slots", OPEN, at_once, 0, floors[1], None, "pay", False),
-            Limit("again", RATE, AGAIN * self.scale * THOUSANDTHS, max(AGAIN_BURST * self.scale, n),
-                  AGAIN * self.scale * THOUSANDTHS // n if equal else 0, "t", None, False, True),
+            Limit(
+                "again",
+                RATE,
+                AGAIN * self.scale * THOUSANDTHS,
+                max(AGAIN_BURST * self.scale, n),
+                AGAIN * self.scale * THOUSANDTHS // n if equal else 0,
+                "t",
+                None,
+                False,
+                True,
+            ),
         ]
 
     def parts_for(self, host):
         agreement, count = self.agreement_for(host), 1 if self.way == "none" else self.count
         now, wordless = host.clock(), self.way != "shares"
-        sharing = Sharing(
-            agreement, host.me, count, host.life, self.limits, LEASE, self.drift, HOLD, now
-        )
+        sharing = Sharing(agreement, host.me, count, host.life, self.limits, LEASE, self.drift, HOLD, now)
         if self.way == "none":
             for meter in sharing.gate.meters.values():
                 meter.share, meter.until = meter.pool, 2**62
@@ -121,9 +128,7 @@
         ends = int(LEASE * (1 + self.drift) / (1 - self.drift) ** 2) + 2
         hold = int(HOLD * (1 + self.drift) / (1 - self.drift)) + 1
         rate, slots, _ = self.limits
-        self.over.resize(
-            self.now + last + ends + hold, rate.size / THOUSANDTHS, rate.burst, slots.size
-        )
+        self.over.resize(self.now + last + ends + hold, rate.size / THOUSANDTHS, rate.burst, slots.size)
 
     def retune(self, host, limits):
         if host.alive:
--- a/grebedyke/rig/rounds.py
+++ b/grebedyke/rig/rounds.py
@@ -43,10 +43,19 @@
         self.seed, self.random = seed, random.Random(f"round {seed}")
         voters = 3 if processes < 7 else 5
         # Some rounds go on under limits of the whole fleet, of which more is asked for than they let through.
-        self.shares = [
-            {"name": "all", "rate": RATE * 2 / 3, "burst": max(20, processes), "floor": RATE / 3 / processes},
-            {"name": "confirms", "underWay": 3, "operation": "confirm"},
-        ] if seed % 4 == 1 else None
+        self.shares = (
+            [
+                {
+                    "name": "all",
+                    "rate": RATE * 2 / 3,
+                    "burst": max(20, processes),
+                    "floor": RATE / 3 / processes,
+                },
+                {"name": "confirms", "underWay": 3, "operation": "confirm"},
+            ]
+            if seed % 4 == 1
+            else None
+        )
         self.rig = Rig(
             OPERATIONS, processes, executors, voters, seed, seed % 3 == 0, older=older, shares=self.shares
         )
@@ -199,8 +208,11 @@
             if at > began:
                 self.judge.done["reached in work"] += 1
                 if not self.script:
-                    self.judge.fault("free is free", f"{id} reached {name} {at - began:.3f} s after "
-                                                     f"{told_by} had told it free by number {number}")
+                    self.judge.fault(
+                        "free is free",
+                        f"{id} reached {name} {at - began:.3f} s after "
+                        f"{told_by} had told it free by number {number}",
+                    )
         await executor.restart()
         await self.rig.discovery.change(name, status="Ready", since_ms=int(time.time() * 1000))
 
@@ -350,6 +362,7 @@
     async def reload(self):
         """Other settings and back, or a file that is none."""
         if name := self.take():
+
             def fewer(told):
                 told["settings"]["limits"]["maxForwards"] -= 1
 
--- a/grebedyke/service/assembly.py
+++ b/grebedyke/service/assembly.py
@@ -1,4 +1,5 @@
 """Puts a node's parts together, each from its own few terms."""
+
 import resource
 from functools import partial
 
@@ -28,8 +29,14 @@
     # A line is dropped at half the time at which an executor closes it: a message that crosses the
     # closing ends as a reset, which may have run.
     pool = tenths(limits["connIdleMs"]) // 2, connect
-    desk = (int(limits["maxForwards"]), int(limits["maxOpen"]),
-            b"/alive" if conf["telemetry"]["how"] == "off" else b"/metrics/load", 2 * connect, 4 * tick, tick)
+    desk = (
+        int(limits["maxForwards"]),
+        int(limits["maxOpen"]),
+        b"/alive" if conf["telemetry"]["how"] == "off" else b"/metrics/load",
+        2 * connect,
+        4 * tick,
+        tick,
+    )
     door = {row["name"]: tenths(row["clientTimeoutMs"]) for row in conf["operations"]}, longest + SECOND
     # The watch is kept up without asking the module, also where lists are asked for: its back-off, up to 16 s
     # with 40 nodes, let changes count as told long before they were heard. What the agent gets at discovery's
@@ -62,8 +69,11 @@
 def levels(turn, dispatcher):
     """For the log: executors that the list has healthy, and how many of them are left out for the moment."""
     listed, now = dispatcher.fleet.listed, turn.clock()
-    return {"listed": len(listed), "out": sum(e.shut > now for e in listed),
-            "held": sum(inv.held for inv in dispatcher.held)}
+    return {
+        "listed": len(listed),
+        "out": sum(e.shut > now for e in listed),
+        "held": sum(inv.held for inv in dispatcher.held),
+    }
 
 
 def assemble(loop, said, read_again, clock=None, files=None):
@@ -83,12 +93,20 @@
     room = sockets - KEPT
     pool = Pool(loop, turn, *for_pool, max(room // 4, 1))
     desk = Desk(dispatcher, turn, pool, gauges, *for_desk)
-    door = Door(turn, operations, desk.take, desk.news, desk.left, room * 5 // 8, room * 3 // 10,
-                patience)
+    door = Door(turn, operations, desk.take, desk.news, desk.left, room * 5 // 8, room * 3 // 10, patience)
     # Short waits: what an agent has counts as told 2 s after the wait, and one that fell silent is asked anew
     # before that.
-    watch = desk.watch = Watch(loop, turn, *said["discovery"], said["known"].get("index"), 2 * SECOND,
-                               *for_watch[:2], desk.listed, desk.unlisted, for_watch[2])
+    watch = desk.watch = Watch(
+        loop,
+        turn,
+        *said["discovery"],
+        said["known"].get("index"),
+        2 * SECOND,
+        *for_watch[:2],
+        desk.listed,
+        desk.unlisted,
+        for_watch[2],
+    )
     peers = desk.peers = Peers(loop, turn, desk.heard)
     turn.decide, turn.carry = dispatcher.decide, desk.do
     gauges.levels = partial(levels, turn, dispatcher)
@@ -106,6 +124,7 @@
             node.longest = longest_of(conf)
             peers.move(said["peers"], int(conf["me"]))
             watch.tune(*for_watch)
+
         return in_force
 
     def books():
@@ -127,10 +146,20 @@
             peers.again()
             dispatcher.budget.alone(turn.clock())
 
-    handover = Handover(loop, said["folder"], said["name"], books, {
-        "books": recall, "news": heard_news, "client": lambda **what: loop.create_task(door.adopt(**what)),
-        "hand": lambda name, out: turn.put(desk.by_hand, name, out),
-        "reload": lambda: node.reload(passed_on=True)}, shared)
+    handover = Handover(
+        loop,
+        said["folder"],
+        said["name"],
+        books,
+        {
+            "books": recall,
+            "news": heard_news,
+            "client": lambda **what: loop.create_task(door.adopt(**what)),
+            "hand": lambda name, out: turn.put(desk.by_hand, name, out),
+            "reload": lambda: node.reload(passed_on=True),
+        },
+        shared,
+    )
     desk.tell_other = handover.tell
 
     def by_hand(now, name, out):
@@ -140,10 +169,25 @@
         return known
 
     console = Console(turn, lambda: node.phase == Phase.SERVING, by_hand, room // 16)
-    node = Node(loop, turn, gauges, pool, desk, door, console, watch, peers, handover, said, longest_of(conf),
-                read_again, renew)
+    node = Node(
+        loop,
+        turn,
+        gauges,
+        pool,
+        desk,
+        door,
+        console,
+        watch,
+        peers,
+        handover,
+        said,
+        longest_of(conf),
+        read_again,
+        renew,
+    )
     if said["fleet"]:
         # Imported here: a node that is no part of a fleet pays nothing for it.
         from grebedyke.service.fleet import join
+
         join(node, files)
     return node
--- a/grebedyke/service/configuration/reading.py
+++ b/grebedyke/service/configuration/reading.py
@@ -1,4 +1,5 @@
 """A node's file and environment: what it is told beside the settings of its deployment."""
+
 import json
 import os
 
@@ -7,36 +8,50 @@
 from grebedyke.checks import Unusable, address, checked, number, reachable, seconds, table
 from grebedyke.service.configuration.terms import TERMS, terms
 
-LARGEST = 8 << 20      # bytes of a file; a list of thousands of executors has one
-
-
-NODE = table({
-    Required("name"): All(str, Length(min=1)),
-    Required("listen"): address,
-    Required("discovery"): address,
-    # Where the operators call; without it nobody listens for them.
-    Optional("console", default=None): Any(None, address),
-    Optional("seed", default="0"): object,
-    # Seconds from one log line of counts to the next.
-    Optional("counts", default=5): seconds,
-    # Where this node's processes find each other when one takes over from another; without it none does.
-    Optional("folder", default=None): Any(None, str),
-    Optional("limits", default=dict): table({Optional("sockets", default=1024): number(32)}),
-    # Where nodes may tell each other things: all nodes' addresses for that, this one's too, by their numbers.
-    Optional("peers", default=list): [address],
-    # Enough to begin with; it may be old.
-    Optional("known", default=dict): table({
-        Optional("index"): number(0),
-        Optional("endpoints", default=list): [table({
-            Required("name"): str, Required("address"): reachable,
-            # Read where the list is, line by line: an odd one costs no other.
-            **{Optional(key): object
-               for key in ("zone", "type", "group", "status", "weight", "since_ms")}})]}),
-    # Parts of the fleet, each off without its section (see `sections`).
-    Optional("fleet", default=None): Any(None, dict),
-    Optional("maintenance", default=None): Any(None, dict),
-    Optional("shares", default=None): Any(None, dict),
-    Required("settings"): dict})
+LARGEST = 8 << 20  # bytes of a file; a list of thousands of executors has one
+
+
+NODE = table(
+    {
+        Required("name"): All(str, Length(min=1)),
+        Required("listen"): address,
+        Required("discovery"): address,
+        # Where the operators call; without it nobody listens for them.
+        Optional("console", default=None): Any(None, address),
+        Optional("seed", default="0"): object,
+        # Seconds from one log line of counts to the next.
+        Optional("counts", default=5): seconds,
+        # Where this node's processes find each other when one takes over from another; without it none does.
+        Optional("folder", default=None): Any(None, str),
+        Optional("limits", default=dict): table({Optional("sockets", default=1024): number(32)}),
+        # Where nodes may tell each other things: all nodes' addresses for that, this one's too, by their numbers.
+        Optional("peers", default=list): [address],
+        # Enough to begin with; it may be old.
+        Optional("known", default=dict): table(
+            {
+                Optional("index"): number(0),
+                Optional("endpoints", default=list): [
+                    table(
+                        {
+                            Required("name"): str,
+                            Required("address"): reachable,
+                            # Read where the list is, line by line: an odd one costs no other.
+                            **{
+                                Optional(key): object
+                                for key in ("zone", "type", "group", "status", "weight", "since_ms")
+                            },
+                        }
+                    )
+                ],
+            }
+        ),
+        # Parts of the fleet, each off without its section (see `sections`).
+        Optional("fleet", default=None): Any(None, dict),
+        Optional("maintenance", default=None): Any(None, dict),
+        Optional("shares", default=None): Any(None, dict),
+        Required("settings"): dict,
+    }
+)
 
 
 def once(pairs):
@@ -57,6 +72,7 @@
         raise Unusable(f"BALANCER_CONFIG is not UTF-8: byte {problem.start}") from None
     if name.endswith(".toml"):
         from grebedyke.service.configuration import schema, spelled
+
         try:
             said = spelled.read(text)
         except spelled.Misspelt as problem:
@@ -78,6 +94,7 @@
 def parse_plain(data, name):
     """The tree of another file that people write: JSON, or TOML with units; its keys are not checked."""
     from grebedyke.service.configuration import spelled
+
     try:
         if name.endswith(".toml"):
             return spelled.read(data.decode())
@@ -94,8 +111,11 @@
 
 def in_force(environ, said, tree):
     """(path, value, origin) of all that a node goes by: from the file, the environment, or a default."""
-    told_by = {key for key in ("name", "listen", "discovery", "console", "counts")
-               if environ.get(f"BALANCER_{key.upper()}")}
+    told_by = {
+        key
+        for key in ("name", "listen", "discovery", "console", "counts")
+        if environ.get(f"BALANCER_{key.upper()}")
+    }
 
     def walk(value, source, path):
         if isinstance(value, dict):
@@ -109,6 +129,7 @@
         else:
             at = "".join(f"[{p}]" if isinstance(p, int) else f".{p}" for p in path).lstrip(".")
             yield at, value, "environment" if path[0] in told_by else "default" if source is ... else "file"
+
     yield from walk({key: value for key, value in said.items() if key != "written"}, tree, ())
 
 
@@ -117,11 +138,13 @@
     from grebedyke.agreement import section as agreement
     from grebedyke.maintenance import section as maintenance
     from grebedyke.shares import section as shares
+
     return {"fleet": agreement, "maintenance": maintenance, "shares": shares}
 
 
 def all_keys():
     from grebedyke.service.configuration import schema
+
     known = sections()
     above = [key for key in schema.keys(NODE) if key.path not in ("settings", *known)]
     parts = [key for name, section in known.items() for key in schema.keys(section.SECTION, name)]
@@ -146,7 +169,7 @@
             said[key] = environ[f"BALANCER_{key.upper()}"]
     said.setdefault("folder", environ.get("TMPDIR"))
     said = checked(NODE, said)
-    said["written"] = written      # discovery by the file's word, whatever the environment says
+    said["written"] = written  # discovery by the file's word, whatever the environment says
     conf = said["settings"] = terms(said["settings"], "settings.")
     if said["peers"] or conf["limits"]["peerMessages"] and conf["balancers"] > 1:
         if len(said["peers"]) != conf["balancers"]:
@@ -170,5 +193,10 @@
     if said["shares"] is not None:
         conf, fleet = said["settings"], said["fleet"]
         known["shares"].check(
-            said["shares"], fleet, int(conf["balancers"]), [row["name"] for row in conf["operations"]],
-            [row["name"] for row in conf["parties"]], fleet and fleet["waitMs"])
+            said["shares"],
+            fleet,
+            int(conf["balancers"]),
+            [row["name"] for row in conf["operations"]],
+            [row["name"] for row in conf["parties"]],
+            fleet and fleet["waitMs"],
+        )
--- a/grebedyke/service/configuration/schema.py
+++ b/grebedyke/service/configuration/schema.py
@@ -2,6 +2,7 @@
 
 Read out of the one table that checks, so that no page or message can say something else than it does.
 """
+
 import re
 from difflib import get_close_matches
 from typing import NamedTuple
@@ -80,6 +81,7 @@
 
 class Key(NamedTuple):
     """`path`: with [] for each row of a list; `default`: None where the key is required or has none."""
+
     path: str
     holds: str
     required: bool
--- a/grebedyke/service/configuration/spelled.py
+++ b/grebedyke/service/configuration/spelled.py
@@ -3,6 +3,7 @@
 No I/O. A key's name tells what it holds: `...Ms` a time in milliseconds, those of SECONDS a time in seconds,
 those of SHARES a part of one.
 """
+
 import re
 import tomllib
 
@@ -45,7 +46,7 @@
     number, unit, key = float(match[1]), match[2], next((p for p in reversed(path) if isinstance(p, str)), "")
     time, share = key.endswith("Ms") or key in SECONDS, key in SHARES
     if not (time or share):
-        return value      # text that happens to look like a quantity; what wants a number says so itself
+        return value  # text that happens to look like a quantity; what wants a number says so itself
     if share != (unit == "%"):
         raise Misspelt(path, f"is a {'share, not a time' if share else 'time, not a share'}: {value!r}")
     number = number / 100 if share else number * MS[unit] / (1_000 if key in SECONDS else 1)
@@ -106,7 +107,7 @@
             stack[-1] += 1
             places.setdefault((*stack,), line)
         elif word[0] == '"' and stack and not isinstance(stack[-1], int):
-            rest = text[token.end():].lstrip() if key is None else ""
+            rest = text[token.end() :].lstrip() if key is None else ""
             if rest.startswith(":"):
                 stack[-1] = word[1:-1]
                 places.setdefault((*stack,), line)
--- a/grebedyke/service/configuration/terms.py
+++ b/grebedyke/service/configuration/terms.py
@@ -1,4 +1,5 @@
 """The settings of a deployment, and the module's parts out of them."""
+
 from voluptuous import All, Any, In, Invalid, Length, Optional, Required
 
 from grebedyke import brain, ledger
@@ -25,53 +26,81 @@
     return rules
 
 
-OPERATION = All(table({
-    Required("name"): str,
-    Required("idempotency"): In(EFFECTS, msg="is unknown"),
-    Optional("group", default=None): Any(None, "all", "zone", "cell", msg="is unknown"),
-    Optional("windowMs", default=None): maybe(number(0)),
-    Required("latencyObjectiveMs"): number(0),
-    # No default: with a guessed one a file that lacks a line would bind clients to what nobody has said.
-    Required("clientTimeoutMs"): number(0.1),
-    Optional("aimStretch", default=0.0): number(0),
-    Optional("billedValue", default=1.0): number(),
-    Optional("overdueBilledValue", default=0.0): number(0)}), deduplicated)
-
-TERMS = table({
-    Required("balancers"): number(1),
-    Required("me"): number(0),
-    Required("tickMs"): number(0.1),
-    Optional("zone", default=None): Any(None, str),
-    Optional("machineTypes", default=list): [str],
-    Required("operations"): All([OPERATION], Length(min=1, msg="is missing")),
-    # Drains are kept by stopping at once, the fall by warmth and parts; still no run without these figures.
-    Required("rules"): All(table({
-        Required("drainGraceMs"): number(0), Required("fallMultiple"): number(1),
-        Required("coldFrom"): number(0, 1), Required("rampTimeMs"): number(0),
-        Required("tipAfterMs"): number(0.1),
-        Optional("extraFloor", default=None): maybe(number(0)),
-        Optional("resendRatio", default=None): maybe(number(0)),
-        # A day at most: a window that no node's life fills would be no rule of forwards any more.
-        Optional("lookBackMs", default=None): maybe(number(1, 86_400_000))}), budget),
-    Required("limits"): table({
-        Optional("mayCancel", default=False): bool, Required("maxForwards"): number(1),
-        Optional("retryAfter", default=False): bool, Optional("maxRetryAfterMs", default=0): number(0),
-        Optional("probes", default=False): bool, Optional("peerMessages", default=False): bool,
-        Optional("maxOpen", default=10 ** 6): number(1),
-        Optional("connIdleMs", default=60_000): number(1),
-        Optional("connectTimeoutMs", default=1_000): number(1)}),
-    Optional("prices", default=dict): table({
-        Optional("crossZone", default=0.0): number(0)}),
-    Optional("familyInfo", default=dict): table({
-        Optional("progressMs", default=0): number(0), Optional("tellsStart", default=False): bool,
-        Optional("classStretch", default=list): [number()],
-        Optional("classKind", default=list): [number(-1)]}),
-    Optional("parties", default=list): [table({
-        Required("name"): str, Optional("quotaRps", default=0.0): number()})],
-    Optional("telemetry", default=dict): table({
-        Optional("fields", default=list): [str], Optional("how", default="off"): str}),
-    Optional("registryMode", default="push"): In(("push", "ask"), msg="is unknown"),
-    Optional("billedValueBy", default="request"): str})
+OPERATION = All(
+    table(
+        {
+            Required("name"): str,
+            Required("idempotency"): In(EFFECTS, msg="is unknown"),
+            Optional("group", default=None): Any(None, "all", "zone", "cell", msg="is unknown"),
+            Optional("windowMs", default=None): maybe(number(0)),
+            Required("latencyObjectiveMs"): number(0),
+            # No default: with a guessed one a file that lacks a line would bind clients to what nobody has said.
+            Required("clientTimeoutMs"): number(0.1),
+            Optional("aimStretch", default=0.0): number(0),
+            Optional("billedValue", default=1.0): number(),
+            Optional("overdueBilledValue", default=0.0): number(0),
+        }
+    ),
+    deduplicated,
+)
+
+TERMS = table(
+    {
+        Required("balancers"): number(1),
+        Required("me"): number(0),
+        Required("tickMs"): number(0.1),
+        Optional("zone", default=None): Any(None, str),
+        Optional("machineTypes", default=list): [str],
+        Required("operations"): All([OPERATION], Length(min=1, msg="is missing")),
+        # Drains are kept by stopping at once, the fall by warmth and parts; still no run without these figures.
+        Required("rules"): All(
+            table(
+                {
+                    Required("drainGraceMs"): number(0),
+                    Required("fallMultiple"): number(1),
+                    Required("coldFrom"): number(0, 1),
+                    Required("rampTimeMs"): number(0),
+                    Required("tipAfterMs"): number(0.1),
+                    Optional("extraFloor", default=None): maybe(number(0)),
+                    Optional("resendRatio", default=None): maybe(number(0)),
+                    # A day at most: a window that no node's life fills would be no rule of forwards any more.
+                    Optional("lookBackMs", default=None): maybe(number(1, 86_400_000)),
+                }
+            ),
+            budget,
+        ),
+        Required("limits"): table(
+            {
+                Optional("mayCancel", default=False): bool,
+                Required("maxForwards"): number(1),
+                Optional("retryAfter", default=False): bool,
+                Optional("maxRetryAfterMs", default=0): number(0),
+                Optional("probes", default=False): bool,
+                Optional("peerMessages", default=False): bool,
+                Optional("maxOpen", default=10**6): number(1),
+                Optional("connIdleMs", default=60_000): number(1),
+                Optional("connectTimeoutMs", default=1_000): number(1),
+            }
+        ),
+        Optional("prices", default=dict): table({Optional("crossZone", default=0.0): number(0)}),
+        Optional("familyInfo", default=dict): table(
+            {
+                Optional("progressMs", default=0): number(0),
+                Optional("tellsStart", default=False): bool,
+                Optional("classStretch", default=list): [number()],
+                Optional("classKind", default=list): [number(-1)],
+            }
+        ),
+        Optional("parties", default=list): [
+            table({Required("name"): str, Optional("quotaRps", default=0.0): number()})
+        ],
+        Optional("telemetry", default=dict): table(
+            {Optional("fields", default=list): [str], Optional("how", default="off"): str}
+        ),
+        Optional("registryMode", default="push"): In(("push", "ask"), msg="is unknown"),
+        Optional("billedValueBy", default="request"): str,
+    }
+)
 
 
 def terms(conf, prefix=""):
@@ -85,30 +114,56 @@
     stretch = family["classStretch"][i] if i < len(family["classStretch"]) else row["aimStretch"]
     kind = int(family["classKind"][i]) if i < len(family["classKind"]) else -1
     return ledger.Operation(
-        row["name"], EFFECTS[row["idempotency"]], row["group"], tenths(row["windowMs"] or 0),
-        tenths(row["latencyObjectiveMs"]), float(stretch), row["billedValue"], row["overdueBilledValue"],
-        kinds[kind] if 0 <= kind < len(kinds) else None, tenths(row["clientTimeoutMs"]))
+        row["name"],
+        EFFECTS[row["idempotency"]],
+        row["group"],
+        tenths(row["windowMs"] or 0),
+        tenths(row["latencyObjectiveMs"]),
+        float(stretch),
+        row["billedValue"],
+        row["overdueBilledValue"],
+        kinds[kind] if 0 <= kind < len(kinds) else None,
+        tenths(row["clientTimeoutMs"]),
+    )
 
 
 def open_dispatcher(seed, conf):
     """Builds the parts of one instance, each from its own few settings, out of checked terms."""
     rules, limits, family, prices = conf["rules"], conf["limits"], conf["familyInfo"], conf["prices"]
-    operations = {row["name"]: operation(row, i, family, conf["machineTypes"])
-                  for i, row in enumerate(conf["operations"])}
+    operations = {
+        row["name"]: operation(row, i, family, conf["machineTypes"])
+        for i, row in enumerate(conf["operations"])
+    }
     nodes, me = int(conf["balancers"]), int(conf["me"])
     chance = ledger.Chance(seed)
     fleet = brain.Fleet(
-        conf["zone"], me, nodes, rules["coldFrom"], tenths(rules["rampTimeMs"]),
-        rules["fallMultiple"], max(min(op.objective for op in operations.values()) // 10, 10),
-        tenths(family["progressMs"]), prices["crossZone"], 1 + nodes // 64 if limits["peerMessages"] else 0)
+        conf["zone"],
+        me,
+        nodes,
+        rules["coldFrom"],
+        tenths(rules["rampTimeMs"]),
+        rules["fallMultiple"],
+        max(min(op.objective for op in operations.values()) // 10, 10),
+        tenths(family["progressMs"]),
+        prices["crossZone"],
+        1 + nodes // 64 if limits["peerMessages"] else 0,
+    )
     quotas = {row["name"]: row["quotaRps"] for row in conf["parties"]}
     budget = brain.Budget(
-        rules["extraFloor"] or 0, rules["resendRatio"] or 0, tenths(rules["lookBackMs"] or 0))
+        rules["extraFloor"] or 0, rules["resendRatio"] or 0, tenths(rules["lookBackMs"] or 0)
+    )
     return brain.Dispatcher(
-        chance, ledger.Parts(brain.Cutoffs(chance, nodes), fleet, brain.Shares(quotas, nodes), budget),
-        operations, tenths(conf["tickMs"]), conf["billedValueBy"] == "work",
-        ledger.Means(limits["mayCancel"], family["tellsStart"], limits["probes"],
-                     conf["registryMode"] == "ask"),
-        ledger.Bounds(int(limits["maxForwards"]),
-                      tenths(limits["maxRetryAfterMs"]) if limits["retryAfter"] else 0,
-                      int(limits["maxOpen"])))
+        chance,
+        ledger.Parts(brain.Cutoffs(chance, nodes), fleet, brain.Shares(quotas, nodes), budget),
+        operations,
+        tenths(conf["tickMs"]),
+        conf["billedValueBy"] == "work",
+        ledger.Means(
+            limits["mayCancel"], family["tellsStart"], limits["probes"], conf["registryMode"] == "ask"
+        ),
+        ledger.Bounds(
+            int(limits["maxForwards"]),
+            tenths(limits["maxRetryAfterMs"]) if limits["retryAfter"] else 0,
+            int(limits["maxOpen"]),
+        ),
+    )
--- a/grebedyke/service/console.py
+++ b/grebedyke/service/console.py
@@ -3,6 +3,7 @@
 A call is told to the rest of the node as an input like any other, and answered in the turn that hands it
 over.
 """
+
 from urllib.parse import unquote_to_bytes
 
 from loguru import logger
@@ -32,7 +33,7 @@
         self.console.callers.pop(self, None)
 
     def eof_received(self):
-        return self.called      # some end their side after the call, and still wait for what it says
+        return self.called  # some end their side after the call, and still wait for what it says
 
     def read(self):
         if self.called:
@@ -95,8 +96,12 @@
     def rule(self, now, caller, name, out):
         known = self.by_hand(now, name, out)
         if known:
-            logger.info("executor {executor} by hand: {state}", event="by-hand", executor=name,
-                        state="out" if out else "in use again")
+            logger.info(
+                "executor {executor} by hand: {state}",
+                event="by-hand",
+                executor=name,
+                state="out" if out else "in use again",
+            )
         caller.answer(*(200, "out" if out else "in use") if known else (404, "no such executor"))
 
     def close(self):
--- a/grebedyke/service/desk.py
+++ b/grebedyke/service/desk.py
@@ -1,4 +1,5 @@
 """The books on what a node has taken: what the wire tells becomes inputs, decisions become messages."""
+
 from functools import partial
 
 from loguru import logger
@@ -17,16 +18,25 @@
 class Desk:
     """`margin`: how much earlier than the client's own reckoning an answer is due here."""
 
-    def __init__(self, dispatcher, turn, pool, gauges, most_forwards, most_open, probe_path, probe_wait,
-                 margin, tick):
+    def __init__(
+        self, dispatcher, turn, pool, gauges, most_forwards, most_open, probe_path, probe_wait, margin, tick
+    ):
         self.dispatcher, self.turn, self.pool, self.gauges = dispatcher, turn, pool, gauges
         self.tune(most_forwards, most_open, probe_path, probe_wait, margin, tick)
         self.owed, self.latest, self.watch, self.peers, self.shift = {}, None, None, None, 0
-        self.tell_other = None      # where two processes are one node: tells the other one
-        self.also_listed = None     # told of each list too
-        self.deeds = {"forward": self.forward, "cancel": self.cancel, "throttle": self.throttle,
-                      "error": self.error, "probe": self.probe, "wake": self.wake, "follow": self.follow,
-                      "note": self.note, "tell": self.tell}
+        self.tell_other = None  # where two processes are one node: tells the other one
+        self.also_listed = None  # told of each list too
+        self.deeds = {
+            "forward": self.forward,
+            "cancel": self.cancel,
+            "throttle": self.throttle,
+            "error": self.error,
+            "probe": self.probe,
+            "wake": self.wake,
+            "follow": self.follow,
+            "note": self.note,
+            "tell": self.tell,
+        }
 
     def tune(self, most_forwards, most_open, probe_path, probe_wait, margin, tick):
         self.most_forwards, self.most_open, self.probe_path = most_forwards, most_open, probe_path
@@ -95,8 +105,14 @@
 
     def came(self, flight, how, status, headers, body):
         if not flight.done:
-            self.turn.put(self.answered, flight, how, status, headers.get(b"x-not-processed") == b"1",
-                          headers.get(b"x-server-load", b"").decode("latin-1"))
+            self.turn.put(
+                self.answered,
+                flight,
+                how,
+                status,
+                headers.get(b"x-not-processed") == b"1",
+                headers.get(b"x-server-load", b"").decode("latin-1"),
+            )
 
     def answered(self, now, flight, how, status, unrun, load=""):
         if flight.done:
@@ -115,9 +131,14 @@
 
     def listed(self, now, whole, rows):
         self.pool.listed(whole, [(row[0], row[1], row[5], row[6]) for row in rows])
-        self.dispatcher.listed(now, whole, [
-            (name, zone, kind, cell, state, since and since * 10 + self.shift, weight)
-            for name, _, zone, kind, cell, state, since, weight in rows])
+        self.dispatcher.listed(
+            now,
+            whole,
+            [
+                (name, zone, kind, cell, state, since and since * 10 + self.shift, weight)
+                for name, _, zone, kind, cell, state, since, weight in rows
+            ],
+        )
         if self.also_listed:
             self.also_listed(now, whole, rows)
 
@@ -127,12 +148,18 @@
     def books(self):
         """For a process that goes on with this one's work: the executors with their addresses."""
         decides = self.dispatcher
-        return {"executors": decides.fleet.books(), "budget": decides.budget.books(), "places": [
-            (e.name, e.address, e.since) for e in self.pool.endpoints.values() if e.listed and e.address]}
+        return {
+            "executors": decides.fleet.books(),
+            "budget": decides.budget.books(),
+            "places": [
+                (e.name, e.address, e.since) for e in self.pool.endpoints.values() if e.listed and e.address
+            ],
+        }
 
     def recall(self, now, books):
         self.pool.listed(
-            True, [(name, tuple(place), "healthy", since) for name, place, since in books["places"]])
+            True, [(name, tuple(place), "healthy", since) for name, place, since in books["places"]]
+        )
         self.dispatcher.fleet.recall(now, books["executors"])
         # A process of before this had no such books: what it has sent is unknown.
         self.dispatcher.budget.recall(now, *books.get("budget") or ((), (), 0, 0))
@@ -191,11 +218,13 @@
         The module hears of it once the executor has: the next forward could else be there before this one's
         end, as a second copy. An end that comes meanwhile counts.
         """
+
         def heard(how=None, *_):
             if how == UNSENT and flight.accepted and not flight.done:
                 # It runs there, and nobody has given it up yet: for want of a line, or no connection.
-                self.turn.after(self.probe_wait // 2,
-                                lambda now: flight.done or self.give_up(flight, outcome))
+                self.turn.after(
+                    self.probe_wait // 2, lambda now: flight.done or self.give_up(flight, outcome)
+                )
             else:
                 self.turn.put(self.given_up, flight, outcome)
 
@@ -225,7 +254,7 @@
             unsent = not (flight.accepted or flight.began or flight.call.over or flight.call.sent())
             outcome = ledger.NO_CONNECTION if unsent else ledger.TIMEOUT
             self.give_up(flight, outcome)
-            self.end(now, flight, outcome)      # now: there is no time for another, and an answer is due
+            self.end(now, flight, outcome)  # now: there is no time for another, and an answer is due
 
     def unheard(self, now, flight):
         """Neither 202 nor news: a connection may fall silent without an end, and all the forward's time
@@ -302,8 +331,17 @@
 
         def came(how, status, headers, body):
             text = (body or headers.get(b"x-server-load", b"")).decode("latin-1")
-            outcome = (ledger.NO_CONNECTION if how == UNSENT else ledger.RESET if how == BROKEN
-                       else ledger.OK if status == 200 else ledger.FULL if status == 503 else ledger.FAULT)
+            outcome = (
+                ledger.NO_CONNECTION
+                if how == UNSENT
+                else ledger.RESET
+                if how == BROKEN
+                else ledger.OK
+                if status == 200
+                else ledger.FULL
+                if status == 503
+                else ledger.FAULT
+            )
             self.turn.put(once, outcome, text)
 
         def silent(now):
--- a/grebedyke/service/handover.py
+++ b/grebedyke/service/handover.py
@@ -5,6 +5,7 @@
 comes to
 the wrong process goes over the line.
 """
+
 import os
 import socket
 
@@ -33,7 +34,7 @@
         if self.sock is None:
             return
         data = orjson.dumps(message)
-        pieces = [data[i:i + PIECE] for i in range(0, len(data), PIECE)]
+        pieces = [data[i : i + PIECE] for i in range(0, len(data), PIECE)]
         self.queue += [(MORE + piece, ()) for piece in pieces[:-1]]
         # Duplicates: what they stand for may be closed here before the packet leaves.
         self.queue.append((LAST + pieces[-1], [os.dup(fd) for fd in fds]))
@@ -99,7 +100,7 @@
         self.loop, self.books, self.take, self.shared = loop, books, take, shared
         self.path = os.path.join(folder, f"{name.replace('/', '_')}.handover") if folder else None
         self.server, self.old, self.heir, self.given = None, None, None, None
-        self.ready, self.offered = False, False      # whether the heir serves; whether this process wants one
+        self.ready, self.offered = False, False  # whether the heir serves; whether this process wants one
 
     # The new process's side.
 
@@ -113,7 +114,7 @@
         try:
             await self.loop.sock_connect(sock, self.reached())
         except OSError:
-            sock.close()      # nobody there, or a socket that a killed process has left
+            sock.close()  # nobody there, or a socket that a killed process has left
             return None
         self.given = self.loop.create_future()
         self.old = Channel(self.loop, sock, self.heard, self.ended)
@@ -177,7 +178,7 @@
         try:
             if kind == "hello" and message["version"] == VERSION:
                 if self.heir or channel is self.old:
-                    return channel.close()      # one heir at a time
+                    return channel.close()  # one heir at a time
                 self.heir = channel
                 books, fd = self.books()
                 channel.send({"kind": "books", **books}, fd)
--- a/grebedyke/service/log.py
+++ b/grebedyke/service/log.py
@@ -1,4 +1,5 @@
 """The node's log and the histograms that it gives at intervals."""
+
 import os
 import select
 import traceback
@@ -10,8 +11,15 @@
 OUTCOMES = ("succeeded", "throttled", "errored", "left")
 # What a node did at the others, and how forwards ended that did not go well.
 DEEDS = ("forwards", "again", "probes", "connects", "lists")
-ENDS = {"full": "full", "reset": "reset", "timeout": "timeout", "no connection": "unconnected",
-        "fault": "fault", "cancelled": "cancelled", "moot": "moot"}
+ENDS = {
+    "full": "full",
+    "reset": "reset",
+    "timeout": "timeout",
+    "no connection": "unconnected",
+    "fault": "fault",
+    "cancelled": "cancelled",
+    "moot": "moot",
+}
 
 
 FORMATS = "text", "json"
@@ -46,9 +54,9 @@
                 if not ready or not ready[0][1] & select.POLLOUT:
                     self.cut = self.cut or i > 0
                     return False
-                os.write(self.fd, data[i:i + PIPE])
+                os.write(self.fd, data[i : i + PIPE])
         except OSError:
-            return False      # closed: there is nobody to be told
+            return False  # closed: there is nobody to be told
         self.cut = False
         return True
 
@@ -59,8 +67,12 @@
     Without an event's name the text itself is there, as `text`; a traceback as `trace`.
     """
     extra = dict(record["extra"])
-    row = {"time": record["time"].isoformat(timespec="milliseconds"), "level": record["level"].name,
-           "node": extra.pop("node", "-"), "event": extra.pop("event", "text")}
+    row = {
+        "time": record["time"].isoformat(timespec="milliseconds"),
+        "level": record["level"].name,
+        "node": extra.pop("node", "-"),
+        "event": extra.pop("event", "text"),
+    }
     row |= extra if row["event"] != "text" else {"text": record["message"]}
     if record["exception"] and record["exception"].value:
         row["trace"] = "".join(traceback.format_exception(record["exception"].value))
@@ -71,15 +83,24 @@
     logger.remove()
     logger.configure(extra={"node": name})
     if form == "json":
-        sink = Sink(fd, lambda n: orjson.dumps({"level": "WARNING", "node": name, "event": "log-dropped",
-                                                "lines": n}).decode() + "\n")
+        sink = Sink(
+            fd,
+            lambda n: orjson.dumps(
+                {"level": "WARNING", "node": name, "event": "log-dropped", "lines": n}
+            ).decode()
+            + "\n",
+        )
         # No braces of the line itself are to be taken for fields.
         logger.add(lambda message: sink.write(json_line(message.record)), level=level, format="{message}")
         return
     sink = Sink(fd, lambda n: f"{n} log lines dropped: nobody read them\n")
     # No diagnose: values of variables in tracebacks are users' data.
-    logger.add(sink.write, level=level, diagnose=False,
-               format="{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {extra[node]} {message}")
+    logger.add(
+        sink.write,
+        level=level,
+        diagnose=False,
+        format="{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {extra[node]} {message}",
+    )
 
 
 class Gauges:
@@ -89,7 +110,7 @@
         self.seen = {name: HdrHistogram(1, 600_000, 2) for name in ("wait", "turn", "late", "stall")}
         names = "taken", *OUTCOMES, *DEEDS, *ENDS.values(), "crowded", "odd", "faults"
         self.counts = dict.fromkeys(names, 0)
-        self.levels = dict      # what is so at the moment of the line, by name
+        self.levels = dict  # what is so at the moment of the line, by name
 
     def count(self, name):
         self.counts[name] += 1
--- a/grebedyke/service/node.py
+++ b/grebedyke/service/node.py
@@ -1,4 +1,5 @@
 """One real node: its phases from start to exit."""
+
 import asyncio
 import enum
 import gc
@@ -20,8 +21,12 @@
 
 
 # A start that is told to end before it listens owes nothing.
-ALLOWED = {Phase.STARTING: {Phase.SERVING, Phase.STOPPED}, Phase.SERVING: {Phase.STOPPING},
-           Phase.STOPPING: {Phase.STOPPED}, Phase.STOPPED: set()}
+ALLOWED = {
+    Phase.STARTING: {Phase.SERVING, Phase.STOPPED},
+    Phase.SERVING: {Phase.STOPPING},
+    Phase.STOPPING: {Phase.STOPPED},
+    Phase.STOPPED: set(),
+}
 # After SIGTERM new connections come for 0.4 s more.
 LINGER = SECOND * 6 // 10
 # The node is killed no sooner than 3 s, or the longest client timeout, and 0.7 s after SIGTERM: what is owed
@@ -40,14 +45,29 @@
     `renew(said)` gives the call that puts changed settings in force, or raises before anything has changed.
     """
 
-    def __init__(self, loop, turn, gauges, pool, desk, door, console, watch, peers, handover, said, longest,
-                 read_again, renew):
+    def __init__(
+        self,
+        loop,
+        turn,
+        gauges,
+        pool,
+        desk,
+        door,
+        console,
+        watch,
+        peers,
+        handover,
+        said,
+        longest,
+        read_again,
+        renew,
+    ):
         self.loop, self.turn, self.gauges, self.pool = loop, turn, gauges, pool
         self.desk, self.door, self.console, self.watch, self.peers = desk, door, console, watch, peers
         self.handover = handover
         self.said, self.longest, self.read_again, self.renew = said, longest, read_again, renew
         self.phase, self.stopped = Phase.STARTING, loop.create_future()
-        self.also = None      # starts and ends with this node: start(inherited), close()
+        self.also = None  # starts and ends with this node: start(inherited), close()
         self.told_to_end = self.listening = False
         # The list has Unix times, the module the monotonic clock's.
         desk.shift = turn.clock() - time.time_ns() // 100_000
@@ -105,7 +125,7 @@
         try:
             said = self.read_again()
         except Exception:
-            return True      # the reload says what is wrong
+            return True  # the reload says what is wrong
         # Discovery by the file's word then and now: the environment's goes before it at the start.
         return said.get("written") != self.said.get("written") or self.differs(said)
 
@@ -122,7 +142,8 @@
         """What asyncio meets outside of a turn, as a lack of descriptors: logged, never the end."""
         if self.gauges.few("faults"):
             logger.opt(exception=context.get("exception")).error(
-                "loop: {why}", event="loop-fault", why=context.get("message"))
+                "loop: {why}", event="loop-fault", why=context.get("message")
+            )
 
     def reload(self, passed_on=False):
         """Settings, the other nodes and discovery's address may change; a faulty file leaves all as it was.
@@ -138,13 +159,21 @@
             in_force = self.renew(said) if self.differs(said) else None
         except Exception as problem:
             # Whatever is wrong with the file, the node goes on: ending here would be a crash.
-            return logger.error("reload refused, the old configuration stays in force: {why}",
-                                event="reload-refused", why=str(problem))
+            return logger.error(
+                "reload refused, the old configuration stays in force: {why}",
+                event="reload-refused",
+                why=str(problem),
+            )
         (host, port), self.said = said["discovery"], said
         moved = (host, port) != self.watch.address
-        logger.info("reload done, discovery at {host}:{port} ({moved}), settings {settings}", event="reload",
-                    host=host, port=port, moved="moved" if moved else "as before",
-                    settings="changed" if in_force else "as before")
+        logger.info(
+            "reload done, discovery at {host}:{port} ({moved}), settings {settings}",
+            event="reload",
+            host=host,
+            port=port,
+            moved="moved" if moved else "as before",
+            settings="changed" if in_force else "as before",
+        )
         self.watch.move(host, port)
         if in_force:
             # Between two turns' decisions: what has come in before goes by the old settings, whole.
@@ -152,7 +181,7 @@
 
     def stop(self):
         if self.phase != Phase.SERVING:
-            self.told_to_end = True      # in a start: as soon as it has come to its end
+            self.told_to_end = True  # in a start: as soon as it has come to its end
             return
         self.enter(Phase.STOPPING)
         self.door.stop()
@@ -182,9 +211,10 @@
 
     def hand(self, client):
         if self.handover.ready:
-            self.handover.hand(client.transport.get_extra_info("socket"), good=client.good,
-                               caller=client.caller)
-            client.abort()      # this process's descriptor only; nothing is left to be written
+            self.handover.hand(
+                client.transport.get_extra_info("socket"), good=client.good, caller=client.caller
+            )
+            client.abort()  # this process's descriptor only; nothing is left to be written
 
     def settle(self, now, last):
         """Looked at in short steps: the last answer, or the last client's close, may come at any time."""
--- a/grebedyke/service/start.py
+++ b/grebedyke/service/start.py
@@ -1,4 +1,5 @@
 """One node from its environment to its exit code."""
+
 import asyncio
 import signal
 from functools import partial
@@ -9,7 +10,7 @@
 def node_of(environ, log_level, only_check, log_format="text", assemble=assembly.assemble):
     """Gives the exit code: 0, 1 when it cannot serve, 2 at a fault in what it is told."""
     log.open_log(environ.get("BALANCER_NAME", "-"), log_level, log_format)
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)      # until the node serves; it would end the program
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the node serves; it would end the program
     try:
         said = configuration.read_node(environ)
         log.open_log(said["name"], log_level, log_format)
--- a/grebedyke/service/switch.py
+++ b/grebedyke/service/switch.py
@@ -3,6 +3,7 @@
 A second dispatcher beside the first would forget load, credit and young executors' budgets, and two sets of
 decisions would load one executor.
 """
+
 from inspect import signature
 
 from grebedyke.ledger import MOOT
@@ -36,14 +37,15 @@
     copy(old, new, "parts")
     if old.budget.window != new.budget.window:
         # Rings of other spans; what was sent by the old terms is in the new window all the same.
-        new.budget.recall(now, old.budget.took.buckets(), old.budget.again.buckets(), old.budget.took.span,
-                          old.budget.shut)
+        new.budget.recall(
+            now, old.budget.took.buckets(), old.budget.again.buckets(), old.budget.took.span, old.budget.shut
+        )
         old.budget = new.budget
     copy(old.budget, new.budget)
     old.ops, old.shares.tenants, old.tells = new.ops, new.shares.tenants, new.tells
     old.shares.levels = {t: x for t, x in old.shares.levels.items() if t in old.shares.quotas}
     for e in fleet.all.values():
-        e.full = {}      # by operation, as it was before
+        e.full = {}  # by operation, as it was before
     if not old.means.cancels:
         old.cuts, old.cutoffs.best = [], None
     if moved:
@@ -60,11 +62,11 @@
     d.held, d.asked, d.fleet.missed = {}, {}, {}
     for inv in list(d.invs.values()):
         for f in inv.forwards:
-            f.lender = None      # no word of it to whoever has that number now
+            f.lender = None  # no word of it to whoever has that number now
             if inv.asker is not None and not f.done:
                 d.ended(now, inv.id, f.n, MOOT, True)
         if inv.asker is not None:
-            d.finish(inv)      # its own node answers it
+            d.finish(inv)  # its own node answers it
     d.leases.clear()
     d.words.clear()
     for inv in reversed(held):
--- a/grebedyke/service/turn.py
+++ b/grebedyke/service/turn.py
@@ -1,4 +1,5 @@
 """The loop's turn: what is ready is gathered, handed to the module in one go, its decisions are done."""
+
 import time
 from collections import deque
 from functools import partial
@@ -6,7 +7,7 @@
 
 from loguru import logger
 
-BEAT = 200       # a node that is idle looks up this often, to know when it stood still
+BEAT = 200  # a node that is idle looks up this often, to know when it stood still
 STALL = 800
 # After a stall: one pass accepts, one or two set up, one reads an invocation, one that its client has left.
 PASSES = 5
@@ -25,7 +26,7 @@
         self.loop, self.gauges, self.decide, self.carry = loop, gauges, None, None
         self.inbox, self.touched, self.limits, self.count = [], {}, [], 0
         self.soon, self.timer, self.armed = False, None, 0
-        self.last_look = None      # called right before a turn's messages are written
+        self.last_look = None  # called right before a turn's messages are written
         self.put_off, self.looked, self.late = 0, 0, 0
         self.marks = deque([self.clock()] * 3, 3)
 
@@ -159,5 +160,6 @@
             return call(now, *args)
         except Exception:
             if self.gauges.few("faults"):
-                logger.exception("turn: {call} failed", event="turn-fault",
-                                 call=getattr(call, "__qualname__", str(call)))
+                logger.exception(
+                    "turn: {call} failed", event="turn-fault", call=getattr(call, "__qualname__", str(call))
+                )
--- a/grebedyke/shares/meters.py
+++ b/grebedyke/shares/meters.py
@@ -154,9 +154,7 @@
                 meter.retune(limit, now)
             else:
                 kind = Slots if limit.kind == OPEN else Bucket
-                self.meters[limit.id()] = kind(
-                    limit, self.nodes, self.drift, self.hold, self.lease, now
-                )
+                self.meters[limit.id()] = kind(limit, self.nodes, self.drift, self.hold, self.lease, now)
 
     def on(self, inv, further=False):
         """The meters of all limits that are on such an invocation, or on its further forwards."""
--- a/grebedyke/shares/part.py
+++ b/grebedyke/shares/part.py
@@ -108,7 +108,11 @@
                 self.books[limit.id()] = old
             else:
                 self.books[limit.id()] = Books(
-                    limit.kind, total, limit.floor, self.lease // 8, self.ends(),
+                    limit.kind,
+                    total,
+                    limit.floor,
+                    self.lease // 8,
+                    self.ends(),
                     whole_bound(self.hold, self.drift),
                 )
 
@@ -188,7 +192,8 @@
         self.asks = {n: sent for n, sent in self.asks.items() if now < sent + self.lease}
         self.asks[self.number] = now
         wants = [
-            [id, want, meter.used] for id, meter in self.gate.meters.items()
+            [id, want, meter.used]
+            for id, meter in self.gate.meters.items()
             if (want := meter.want(now)) or meter.used or meter.share
         ]
         sizes = [[limit.id(), limit.size, limit.floor] for limit in self.limits] if self.other else []
--- a/grebedyke/shares/section.py
+++ b/grebedyke/shares/section.py
@@ -94,8 +94,15 @@
     unit = THOUSANDTHS if rate else 1
     size = row["rate"] if rate else row["underWay"]
     return Limit(
-        row["name"], RATE if rate else OPEN, int(size * unit), row["burst"] or 0, int(row["floor"] * unit),
-        row["tenant"], row["operation"], row["soft"], row["further"],
+        row["name"],
+        RATE if rate else OPEN,
+        int(size * unit),
+        row["burst"] or 0,
+        int(row["floor"] * unit),
+        row["tenant"],
+        row["operation"],
+        row["soft"],
+        row["further"],
     )
 
 
--- a/grebedyke/standin/discovery.py
+++ b/grebedyke/standin/discovery.py
@@ -1,4 +1,5 @@
 """Discovery on a socket: the list, watches on it, and being late, silent or behind."""
+
 import asyncio
 import json
 from urllib.parse import parse_qs, urlsplit
@@ -23,8 +24,16 @@
         self.changed = asyncio.Condition()
 
     def row(self, name, address, zone="a", type="std", group=0, status="Ready", weight=1.0, since_ms=0):
-        return {"name": name, "address": "%s:%d" % tuple(address), "zone": zone, "type": type, "group": group,
-                "status": status, "weight": weight, "since_ms": since_ms}
+        return {
+            "name": name,
+            "address": "%s:%d" % tuple(address),
+            "zone": zone,
+            "type": type,
+            "group": group,
+            "status": status,
+            "weight": weight,
+            "since_ms": since_ms,
+        }
 
     def put(self, row):
         """Before anyone has asked: no change to be told."""
@@ -60,8 +69,11 @@
                 if self.down:
                     return await asyncio.sleep(LONGEST)
                 now = asyncio.get_running_loop().time()
-                self.told += [(now, row["name"], row["status"]) for row in listing["endpoints"]
-                              if row["status"] != "Ready"]
+                self.told += [
+                    (now, row["name"], row["status"])
+                    for row in listing["endpoints"]
+                    if row["status"] != "Ready"
+                ]
                 writer.write(talk.message("HTTP/1.1 200 OK", json.dumps(listing).encode()))
             await writer.drain()
 
@@ -71,7 +83,7 @@
         except (KeyError, ValueError):
             return self.stale or self.listing()
         if known > self.version:
-            return self.listing()      # a version of another life
+            return self.listing()  # a version of another life
         async with self.changed:
             try:
                 async with asyncio.timeout(wait):
--- a/grebedyke/standin/executor.py
+++ b/grebedyke/standin/executor.py
@@ -1,4 +1,5 @@
 """An executor on a socket: takes jobs, tells of them by call-backs, and goes wrong as its script says."""
+
 import asyncio
 import json
 
--- a/grebedyke/standin/faults.py
+++ b/grebedyke/standin/faults.py
@@ -1,4 +1,5 @@
 """What a stand-in is told to do wrong, and when: by time or by a seeded chance."""
+
 import random
 from typing import NamedTuple
 
@@ -20,6 +21,7 @@
 
 class Fault(NamedTuple):
     """`start`, `end`: seconds since the stand-in's start; `chance`: of each occasion."""
+
     kind: str
     start: float = 0.0
     end: float = float("inf")
@@ -40,8 +42,9 @@
         raise ValueError(f"{kind}: no fault of that name; {', '.join(KINDS)}")
     try:
         begin = float(start or 0)
-        parsed = Fault(kind, begin, begin + float(length) if length else float("inf"),
-                       float(chance or 100) / 100)
+        parsed = Fault(
+            kind, begin, begin + float(length) if length else float("inf"), float(chance or 100) / 100
+        )
     except ValueError:
         raise ValueError(f"{text}: KIND[@SECONDS[+SECONDS]][%PERCENT] is meant") from None
     if not (parsed.start >= 0 and parsed.end > parsed.start and 0 < parsed.chance <= 1):
@@ -56,5 +59,7 @@
         self.faults, self.random = list(faults), random.Random(seed)
 
     def on(self, kind, since):
-        return any(f.kind == kind and f.start <= since < f.end
-                   and (f.chance >= 1 or self.random.random() < f.chance) for f in self.faults)
+        return any(
+            f.kind == kind and f.start <= since < f.end and (f.chance >= 1 or self.random.random() < f.chance)
+            for f in self.faults
+        )
--- a/grebedyke/standin/model.py
+++ b/grebedyke/standin/model.py
@@ -2,12 +2,14 @@
 
 Times are seconds of whatever clock the caller has; work is seconds at speed 1.
 """
+
 from collections import deque
 from typing import NamedTuple
 
 
 class Run(NamedTuple):
     """A job that took effect: what the rule on double effects is judged by."""
+
     id: str
     key: str
     operation: str
@@ -20,7 +22,7 @@
     def __init__(self, id, key, operation, work, came):
         self.id, self.key, self.operation, self.work, self.came = id, key, operation, work, came
         self.began = self.ends = None
-        self.dropped = False      # a repeat whose effect was there already
+        self.dropped = False  # a repeat whose effect was there already
 
 
 class Worker:
@@ -36,8 +38,9 @@
     (0.5, ['j0'], ['j1'], {'x0': 0, 'inflight': 1, 'queue': 0})
     """
 
-    def __init__(self, slots=4, speed=1.0, queue=16, cold=0.3, ramp=8.0, multiple=3.0, tip=1.0, window=10.0,
-                 born=0.0):
+    def __init__(
+        self, slots=4, speed=1.0, queue=16, cold=0.3, ramp=8.0, multiple=3.0, tip=1.0, window=10.0, born=0.0
+    ):
         self.slots, self.speed, self.queue, self.cold, self.ramp = slots, speed, queue, cold, ramp
         self.multiple, self.tip, self.window = multiple, tip, window
         self.running, self.waiting, self.runs, self.known, self.sent = [], deque(), [], {}, deque()
@@ -50,8 +53,9 @@
         self.fallen = False
 
     def warmth(self, now):
-        return min(1.0, self.cold
-                   + (1 - self.cold) * max(now - self.born, 0) / self.ramp) if self.ramp else 1.0
+        return (
+            min(1.0, self.cold + (1 - self.cold) * max(now - self.born, 0) / self.ramp) if self.ramp else 1.0
+        )
 
     def take(self, now, id, key, operation, work):
         """'began', 'waits', 'full' (never ran) or 'fell': it has been pushed over and is dead."""
@@ -108,6 +112,8 @@
         return len(self.waiting) < before
 
     def report(self):
-        return {"x0": max(self.slots - len(self.running), 0), "inflight": len(self.running)
-                + len(self.waiting),
-                "queue": len(self.waiting)}
+        return {
+            "x0": max(self.slots - len(self.running), 0),
+            "inflight": len(self.running) + len(self.waiting),
+            "queue": len(self.waiting),
+        }
--- a/grebedyke/standin/talk.py
+++ b/grebedyke/standin/talk.py
@@ -1,4 +1,5 @@
 """HTTP/1.1 over asyncio's streams, as plainly as a peer may speak it."""
+
 import asyncio
 import ipaddress
 
@@ -113,9 +114,9 @@
         try:
             await self.serve(reader, writer)
         except (OSError, Malformed, EOFError, asyncio.LimitOverrunError):
-            pass      # a peer that leaves or speaks oddly ends its own connection only
+            pass  # a peer that leaves or speaks oddly ends its own connection only
         except asyncio.CancelledError:
-            pass      # this server has ended
+            pass  # this server has ended
         finally:
             self.tasks.discard(task)
             writer.close()
--- a/grebedyke/wire/clients.py
+++ b/grebedyke/wire/clients.py
@@ -1,4 +1,5 @@
 """The door: connections of clients and the call-backs of executors, on one address."""
+
 import socket
 from urllib.parse import unquote_to_bytes
 
@@ -35,9 +36,9 @@
     def __init__(self, door):
         super().__init__(door.turn.touch, once=ONCE)
         self.door, self.owed, self.caller, self.keep, self.crowded = door, None, False, True, False
-        self.good, self.waste = False, 0      # good: has handed in an invocation or called back
+        self.good, self.waste = False, 0  # good: has handed in an invocation or called back
         self.spilt, self.spilled = False, 0
-        self.new = True      # its first invocation is still to come
+        self.new = True  # its first invocation is still to come
 
     def connection_made(self, transport):
         super().connection_made(transport)
@@ -86,7 +87,7 @@
             return self.spill()
         if self.last:
             self.waste += self.ring.used
-            self.ring.skip(self.ring.used)      # of a peer that still writes after its last answer
+            self.ring.skip(self.ring.used)  # of a peer that still writes after its last answer
             if self.waste > WASTE and not self.transport.is_closing():
                 self.transport.pause_reading()
             return
@@ -115,10 +116,18 @@
 
     def movable(self):
         """Nothing of it is half read, owed or still to be written here: another process can go on with it."""
-        done = self.owed is None and not self.last and not self.parser.begun() and not (self.out.used
-                                                                                        or self.body)
-        return (done and self.transport and not self.transport.is_closing()
-                and not self.transport.get_write_buffer_size())
+        done = (
+            self.owed is None
+            and not self.last
+            and not self.parser.begun()
+            and not (self.out.used or self.body)
+        )
+        return (
+            done
+            and self.transport
+            and not self.transport.is_closing()
+            and not self.transport.get_write_buffer_size()
+        )
 
     def flush(self):
         super().flush()
@@ -159,14 +168,16 @@
         # those with a message that is not whole yet.
         self.clients, self.idle, self.strangers, self.unsaid, self.usual = {}, {}, {}, {}, {}
         self.server, self.stopping, self.ending, self.up = None, False, False, False
-        self.coming = 0      # accepted, and not set up yet
-        self.heir = None      # takes a client that is at rest to the process that goes on with it
+        self.coming = 0  # accepted, and not set up yet
+        self.heir = None  # takes a client that is at rest to the process that goes on with it
 
     def tune(self, operations, patience):
         """operations: each one's client timeout by name, in tenths of a millisecond."""
         # Clients go on with the time that was in force when they began, after it was made shorter.
-        self.allowed = {**self.allowed, **{
-            name: max(time, self.allowed.get(name, 0)) for name, time in operations.items()}}
+        self.allowed = {
+            **self.allowed,
+            **{name: max(time, self.allowed.get(name, 0)) for name, time in operations.items()},
+        }
         self.operations, self.patience = operations, patience
 
     def named(self, said):
@@ -240,7 +251,7 @@
         finally:
             self.coming -= 1
         if client in self.unsaid:
-            self.unsaid[client] = self.turn.clock()      # read from here on
+            self.unsaid[client] = self.turn.clock()  # read from here on
 
     def pause(self):
         self.loop.remove_reader(self.server)
@@ -298,7 +309,7 @@
     def known(self, client):
         """Clients may hold only so many descriptors: of many that ask once and stay, the longest idle go."""
         client.good = True
-        self.idle.pop(client, None)      # it is about to be owed an answer
+        self.idle.pop(client, None)  # it is about to be owed an answer
         self.usual[client] = None
         if len(self.usual) > self.share and (longest := next((c for c in self.idle if not c.caller), None)):
             self.end(longest)
@@ -329,7 +340,7 @@
         self.idle.pop(client, None)
         self.strangers.pop(client, None)
         if client in self.clients and client.owed is None and client.parser.begun():
-            self.unsaid.setdefault(client, self.turn.clock())      # bytes that trickle in buy no time
+            self.unsaid.setdefault(client, self.turn.clock())  # bytes that trickle in buy no time
             return
         self.unsaid.pop(client, None)
         if client in self.clients and client.owed is None:
@@ -381,13 +392,25 @@
         named = headers.get(b"x-priority-class")
         named = operation if named is None else self.named(named)
         # A client timeout beyond its operation's would pass for the one by which repeats are known.
-        if not (id and len(id) <= 128 and PLAIN.issuperset(id) and wait.isdigit() and len(wait) < 10
-                and 0 < int(wait) * 10 <= self.allowed[operation] and named == operation):
+        if not (
+            id
+            and len(id) <= 128
+            and PLAIN.issuperset(id)
+            and wait.isdigit()
+            and len(wait) < 10
+            and 0 < int(wait) * 10 <= self.allowed[operation]
+            and named == operation
+        ):
             raise http.Bad(400, "no usable X-Request-ID, X-Timeout-Ms or X-Priority-Class")
         if len(target.translate(None, CONTROL)) < len(target):
-            raise http.Bad(400, "control bytes in the target")      # it goes into a line of the executor's
-        cost, extras = headers.get(b"x-cost", b"0"), dict(
-            part.partition(b"=")[::2] for part in headers.get(b"x-attrs", b"").replace(b" ", b"").split(b","))
+            raise http.Bad(400, "control bytes in the target")  # it goes into a line of the executor's
+        cost, extras = (
+            headers.get(b"x-cost", b"0"),
+            dict(
+                part.partition(b"=")[::2]
+                for part in headers.get(b"x-attrs", b"").replace(b" ", b"").split(b",")
+            ),
+        )
         try:
             hint, slots = float(cost) / 100, max(int(float(extras.get(b"slots") or 1)), 1)
             if not 0 <= hint < 1e9:
@@ -397,7 +420,7 @@
         self.unsaid.pop(client, None)
         if client.crowded and self.busy():
             self.turn.gauges.count("crowded")
-            return client.reply(503)      # throttled, since it never went out; a close would lose it
+            return client.reply(503)  # throttled, since it never went out; a close would lose it
         self.known(client)
         tenant = http.text(headers.get(b"x-tenant-id", b"")) or None
         line = method, target, headers.get(b"idempotency-key")
--- a/grebedyke/wire/connection.py
+++ b/grebedyke/wire/connection.py
@@ -1,4 +1,5 @@
 """One TCP connection on asyncio's BufferedProtocol: a ring in, a ring out, written once a turn."""
+
 import asyncio
 
 from grebedyke.wire.http import Parser
@@ -15,7 +16,7 @@
         self.touch, self.ring, self.out = touch, RingBuffer(INWARD), RingBuffer(OUTWARD)
         self.parser = Parser(self.ring, answers, largest, once)
         self.transport, self.body, self.last, self.paused = None, None, False, False
-        self.lingers = False      # the peer may still be writing: closing at once would reset the last answer
+        self.lingers = False  # the peer may still be writing: closing at once would reset the last answer
         # Whether all that was written is with the kernel: only a message that is not may count as never sent.
         self.whole = True
 
@@ -30,7 +31,7 @@
         self.ring.wrote(n)
         self.read()
         if not self.ring.free() and self.transport and not self.transport.is_closing():
-            self.paused = True       # an empty buffer would end the connection
+            self.paused = True  # an empty buffer would end the connection
             self.transport.pause_reading()
 
     def more(self):
@@ -67,7 +68,7 @@
             try:
                 self.transport.write_eof()
             except OSError:
-                self.transport.abort()      # the peer has reset it, which is not read yet
+                self.transport.abort()  # the peer has reset it, which is not read yet
         elif self.last:
             self.transport.close()
 
--- a/grebedyke/wire/discovery.py
+++ b/grebedyke/wire/discovery.py
@@ -1,4 +1,5 @@
 """Follows the list of executors: one watch after the other on one connection."""
+
 import asyncio
 
 import orjson
@@ -31,11 +32,23 @@
             odd.append(name[:40])
             state = "gone"
         place = host, int(port) if port.isdecimal() and len(port) < 6 else 0
-        rows.append((name, place, *map(plain, (row.get("zone"), row.get("type"), row.get("group"))), state,
-                     figure(row.get("since_ms"), 0), figure(row.get("weight"), 1)))
+        rows.append(
+            (
+                name,
+                place,
+                *map(plain, (row.get("zone"), row.get("type"), row.get("group"))),
+                state,
+                figure(row.get("since_ms"), 0),
+                figure(row.get("weight"), 1),
+            )
+        )
     if odd:
-        logger.warning("discovery: {lines} odd lines left out, the first: {first}", event="list-odd",
-                       lines=len(odd), first=odd[0])
+        logger.warning(
+            "discovery: {lines} odd lines left out, the first: {first}",
+            event="list-odd",
+            lines=len(odd),
+            first=odd[0],
+        )
     return rows
 
 
@@ -96,7 +109,7 @@
         self.wait, self.grace, self.again, self.most = wait, grace, again, most or again
         self.told, self.failed, self.failures = told, failed, 0
         self.agent, self.task, self.serial = None, None, 0
-        self.late = None      # the agent of a call given up, which may yet answer it
+        self.late = None  # the agent of a call given up, which may yet answer it
         self.asking = self.down = self.over = False
         self.anew, self.first = True, asyncio.Event()
 
@@ -128,12 +141,12 @@
                 logger.warning("discovery: no connection: {why}", event="list-odd", why=repr(problem))
         if serial != self.serial or not self.asking:
             if agent:
-                agent.close()      # the watch has moved on, or is over
+                agent.close()  # the watch has moved on, or is over
         elif agent and not agent.transport.is_closing():
             self.agent = agent
             self.write()
         else:
-            self.fail()      # also one that was lost before this went on: its end was told to nobody
+            self.fail()  # also one that was lost before this went on: its end was told to nobody
 
     def move(self, host, port):
         """Another discovery from now on: whatever the old one still says or fails to say is nothing to it.
@@ -179,8 +192,12 @@
         self.failures = 0
         if self.index is not None and version < self.index:
             # Of a copy that lags, or a discovery that began anew: changes would be applied to another list.
-            logger.warning("discovery: version {version} after {before}, the whole list is asked for",
-                           event="list-older", version=version, before=self.index)
+            logger.warning(
+                "discovery: version {version} after {before}, the whole list is asked for",
+                event="list-older",
+                version=version,
+                before=self.index,
+            )
             self.index = None
             return self.turn.after(PAUSE, self.ask)
         self.index = version
@@ -230,8 +247,11 @@
         self.asking, self.anew = False, True
         self.first.set()
         if not self.down and not self.over:
-            logger.warning("discovery does not answer; the last list, version {version}, stays in force",
-                           event="list-down", version=self.index)
+            logger.warning(
+                "discovery does not answer; the last list, version {version}, stays in force",
+                event="list-down",
+                version=self.index,
+            )
             self.down = True
         self.turn.put(self.failed)
         self.turn.after(min(self.again << min(self.failures, 8), self.most), self.ask)
