--- a/grebedyke/wire/executors.py
+++ b/grebedyke/wire/executors.py
@@ -1,4 +1,5 @@
 """Connections to executors: one message at a time on each, the most recently used first."""
+
 from loguru import logger
 
 from grebedyke.wire import http
@@ -14,8 +15,20 @@
 
     UNSENT is told only where the last byte never reached the kernel; all else may have arrived.
     """
-    __slots__ = ("endpoint", "head", "body", "done", "line", "task", "over", "since", "opened", "life",
-                 "forwards")
+
+    __slots__ = (
+        "endpoint",
+        "head",
+        "body",
+        "done",
+        "line",
+        "task",
+        "over",
+        "since",
+        "opened",
+        "life",
+        "forwards",
+    )
 
     def __init__(self, endpoint, head, body, done, forwards):
         self.endpoint, self.head, self.body, self.done = endpoint, head, body, done
@@ -67,17 +80,21 @@
             while message := self.parser.next():
                 self.got(*message)
             if self.call is None and self.parser.begun():
-                self.abort()      # half a line that nobody asked for: the next answer would begin with it
+                self.abort()  # half a line that nobody asked for: the next answer would begin with it
         except http.Bad as problem:
             if self.endpoint.pool.turn.gauges.few("odd"):
-                logger.warning("executor {executor}: answer not understood: {why}", event="answer-odd",
-                               executor=self.endpoint.name, why=str(problem))
+                logger.warning(
+                    "executor {executor}: answer not understood: {why}",
+                    event="answer-odd",
+                    executor=self.endpoint.name,
+                    why=str(problem),
+                )
             self.abort()
 
     def got(self, status, headers, body):
         call, self.call = self.call, None
         if call is None:
-            return self.abort()      # an answer to nothing: what follows could be taken for another's
+            return self.abort()  # an answer to nothing: what follows could be taken for another's
         if self.unsent() and not call.over:
             # To an earlier message, or before this one was whole there; on this line the rest would still
             # reach it, as a forward that counts.
@@ -112,7 +129,7 @@
         self.endpoint.lost(self)
         call, self.call = self.call, None
         if call:
-            if not (self.fresh or call.over):      # ended there, not by this node
+            if not (self.fresh or call.over):  # ended there, not by this node
                 self.endpoint.pool.went_stale(self.kept)
             call.end(UNSENT if self.unsent() else BROKEN)
 
@@ -169,8 +186,12 @@
         except Exception as problem:
             # A name that no resolver takes is no OSError, and the call would have no end.
             if not isinstance(problem, OSError) and self.pool.turn.gauges.few("odd"):
-                logger.warning("executor {executor}: no connection: {why}", event="connect-odd",
-                               executor=self.name, why=repr(problem))
+                logger.warning(
+                    "executor {executor}: no connection: {why}",
+                    event="connect-odd",
+                    executor=self.name,
+                    why=repr(problem),
+                )
         call.task = None
         # The list may have said more meanwhile: another address or life, or that nothing new is wanted.
         fits = line and call.life == self.life() and not line.transport.is_closing()
@@ -190,7 +211,7 @@
 
     def rest(self, line):
         if line.life != self.life():
-            return line.close()      # to a former life: it answered there, the next is for who lives now
+            return line.close()  # to a former life: it answered there, the next is for who lives now
         line.since, line.fresh = self.pool.turn.clock(), False
         self.idle.append(line)
 
--- a/grebedyke/wire/http.py
+++ b/grebedyke/wire/http.py
@@ -1,10 +1,20 @@
 """HTTP/1.1 without I/O: reads messages out of a ring, however they were split, and words heads."""
 
 TOKEN = frozenset(b"!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz")
-REASONS = {200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-           408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
-           431: "Request Header Fields Too Large", 500: "Internal Server Error", 503: "Service Unavailable",
-           505: "HTTP Version Not Supported"}
+REASONS = {
+    200: "OK",
+    204: "No Content",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -23,8 +33,21 @@
     lower case. `keep` tells of the last message whether the connection may carry another. `waits`: the
     peer wants a 100 before it sends the body.
     """
-    __slots__ = ("ring", "answers", "largest", "once", "first", "headers", "body", "want", "state", "keep",
-                 "waits", "lines")
+
+    __slots__ = (
+        "ring",
+        "answers",
+        "largest",
+        "once",
+        "first",
+        "headers",
+        "body",
+        "want",
+        "state",
+        "keep",
+        "waits",
+        "lines",
+    )
 
     def __init__(self, ring, answers=False, largest=65_536, once=()):
         self.ring, self.answers, self.largest = ring, answers, largest
@@ -63,7 +86,7 @@
 
     def head(self):
         data = self.ring.peek()
-        if data[:2] == b"\r\n":      # stray line ends between messages
+        if data[:2] == b"\r\n":  # stray line ends between messages
             self.ring.skip(2)
             return None
         end = data.find(b"\r\n\r\n")
@@ -107,7 +130,7 @@
         length, coding = self.headers.get(b"content-length"), self.headers.get(b"transfer-encoding")
         status = self.first[0] if self.answers else 0
         if 100 <= status < 200:
-            self.headers = {}      # an interim answer; the one that counts follows
+            self.headers = {}  # an interim answer; the one that counts follows
             return None
         if status in (204, 304):
             return True
--- a/grebedyke/wire/peers.py
+++ b/grebedyke/wire/peers.py
@@ -1,4 +1,5 @@
 """Words between nodes: one datagram each, to and from the addresses that the configuration names."""
+
 import asyncio
 
 from loguru import logger
@@ -32,8 +33,13 @@
         except OSError as problem:
             # Without words nothing is lost: each ask is answered by silence, and the node goes on.
             if not self.failing:
-                logger.error("peers: cannot listen at {host}:{port}: {why}", event="peers-fault",
-                             host=own[0], port=own[1], why=problem.strerror)
+                logger.error(
+                    "peers: cannot listen at {host}:{port}: {why}",
+                    event="peers-fault",
+                    host=own[0],
+                    port=own[1],
+                    why=problem.strerror,
+                )
             self.failing = True
             self.loop.call_later(AGAIN, self.again)
             return
--- a/grebedyke/wire/reports.py
+++ b/grebedyke/wire/reports.py
@@ -1,8 +1,14 @@
 """Load reports of executors: in the body of a probe's answer, or beside what ends a forward."""
 
 # The operators' wire says some figures in words of its own.
-SAME = {"inflight": "rif", "queue": "q", "util": "busy", "eps": "fail_rate", "qps": "rate",
-        "latency_ms": "lat_ms"}
+SAME = {
+    "inflight": "rif",
+    "queue": "q",
+    "util": "busy",
+    "eps": "fail_rate",
+    "qps": "rate",
+    "latency_ms": "lat_ms",
+}
 
 
 def figures(text):
--- a/grebedyke/wire/ring.py
+++ b/grebedyke/wire/ring.py
@@ -10,6 +10,7 @@
     >>> r.free(), r.take(99), r.free(), len(r.room())
     (1, b'efghijk', 8, 8)
     """
+
     __slots__ = ("size", "view", "head", "used")
 
     def __init__(self, size):
@@ -21,7 +22,7 @@
     def room(self):
         """The store to write into next, in one piece; empty only when the ring is full."""
         tail = self.head + self.used
-        return self.view[tail:] if tail < self.size else self.view[tail - self.size:self.head]
+        return self.view[tail:] if tail < self.size else self.view[tail - self.size : self.head]
 
     def wrote(self, n):
         self.used += n
@@ -39,8 +40,8 @@
     def peek(self):
         end = self.head + self.used
         if end <= self.size:
-            return bytes(self.view[self.head:end])
-        return bytes(self.view[self.head:]) + bytes(self.view[:end - self.size])
+            return bytes(self.view[self.head : end])
+        return bytes(self.view[self.head :]) + bytes(self.view[: end - self.size])
 
     def skip(self, n):
         self.used -= n
--- a/grebedyke/wire/words.py
+++ b/grebedyke/wire/words.py
@@ -2,14 +2,21 @@
 
 A version, a kind and the ask's number go before the kind's own figures; all else is of another build.
 """
+
 from struct import Struct
 
 from grebedyke.ledger import FAULT, OUTCOMES
 
 VERSION = 1
 HEAD = Struct("<BBI")
-FIGURES = {"ask": Struct("<IIIBBBBBB"), "lend": Struct("<I"), "none": Struct("<?"), "began": Struct("<I?"),
-           "news": Struct("<"), "end": Struct("<BB")}
+FIGURES = {
+    "ask": Struct("<IIIBBBBBB"),
+    "lend": Struct("<I"),
+    "none": Struct("<?"),
+    "began": Struct("<I?"),
+    "news": Struct("<"),
+    "end": Struct("<BB"),
+}
 KINDS = [*FIGURES]
 NO_REPORT = 255
 
@@ -26,9 +33,9 @@
         told = NO_REPORT if free is None else min(max(int(free * 10), 0), NO_REPORT - 1)
         figures = OUTCOMES.index(outcome), told
     elif kind == "ask":
-        figures = [min(max(int(x), 0), 2 ** 32 - 1 if i < 3 else 255) for i, x in enumerate(figures)]
+        figures = [min(max(int(x), 0), 2**32 - 1 if i < 3 else 255) for i, x in enumerate(figures)]
     elif kind == "began":
-        figures = min(max(int(figures[0]), 0), 2 ** 32 - 1), figures[1]
+        figures = min(max(int(figures[0]), 0), 2**32 - 1), figures[1]
     return HEAD.pack(VERSION, KINDS.index(kind), number) + FIGURES[kind].pack(*figures)
 
 
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -1,4 +1,5 @@
 """A node on real sockets with what it talks to; the step that matters is held by the test."""
+
 import asyncio
 import os
 import socket
@@ -13,12 +14,28 @@
 from grebedyke.service.assembly import assemble
 from grebedyke.service.configuration.reading import NODE
 
-OPERATION = {"name": "op", "idempotency": "unsafe", "latencyObjectiveMs": 2000, "clientTimeoutMs": 8000,
-             "aimStretch": 1.0}
-TERMS = {"balancers": 1, "me": 0, "tickMs": 5, "zone": "a", "operations": [OPERATION],
-         "limits": {"maxForwards": 5, "connIdleMs": 60000, "connectTimeoutMs": 5000},
-         "rules": {"coldFrom": 0.3, "rampTimeMs": 8000, "tipAfterMs": 1000, "fallMultiple": 3,
-                   "drainGraceMs": 2000}}
+OPERATION = {
+    "name": "op",
+    "idempotency": "unsafe",
+    "latencyObjectiveMs": 2000,
+    "clientTimeoutMs": 8000,
+    "aimStretch": 1.0,
+}
+TERMS = {
+    "balancers": 1,
+    "me": 0,
+    "tickMs": 5,
+    "zone": "a",
+    "operations": [OPERATION],
+    "limits": {"maxForwards": 5, "connIdleMs": 60000, "connectTimeoutMs": 5000},
+    "rules": {
+        "coldFrom": 0.3,
+        "rampTimeMs": 8000,
+        "tipAfterMs": 1000,
+        "fallMultiple": 3,
+        "drainGraceMs": 2000,
+    },
+}
 ROW = {"zone": "a", "type": "m", "group": 0, "status": "Ready", "since_ms": 0}
 
 
@@ -116,7 +133,8 @@
     def say(self, index, *rows, whole=False, writer=None):
         body = orjson.dumps({"index": index, "snapshot": whole, "endpoints": rows})
         (writer or self.writers[-1]).write(
-            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+        )
 
 
 class Gate:
@@ -136,7 +154,7 @@
             try:
                 await self.open.wait()
             except asyncio.CancelledError:
-                transport.abort()      # as asyncio does with a connect that is cancelled
+                transport.abort()  # as asyncio does with a connect that is cancelled
                 raise
         return transport, protocol
 
@@ -149,8 +167,10 @@
 
     @staticmethod
     def head(id, length, wait=8000, operation="op"):
-        head = (f"POST /{operation}/k HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Timeout-Ms: {wait}\r\n"
-                f"Idempotency-Key: i-{id}\r\nContent-Length: {length}\r\n\r\n")
+        head = (
+            f"POST /{operation}/k HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Timeout-Ms: {wait}\r\n"
+            f"Idempotency-Key: i-{id}\r\nContent-Length: {length}\r\n\r\n"
+        )
         return head.encode()
 
     def hand_in(self, id="r1", wait=8000, operation="op", body=b"abc"):
@@ -176,8 +196,9 @@
 class Place:
     """A node that serves on real sockets; `async with` ends it and looks at what it leaves behind."""
 
-    def __init__(self, *rows, agent=None, read_again=None, gate=(), wait=True, folder=None, listen=None,
-                 **more):
+    def __init__(
+        self, *rows, agent=None, read_again=None, gate=(), wait=True, folder=None, listen=None, **more
+    ):
         self.folder, self.listen, self.watch_wait = folder, listen, None
         self.rows, self.agent, self.read_again, self.more, self.wait = rows, agent, read_again, more, wait
         self.gated = gate
@@ -187,15 +208,26 @@
         loop = asyncio.get_running_loop()
         self.gate = Gate(loop, *self.gated) if self.gated else None
         settings = {**TERMS, **self.more}
-        said = checked(NODE, {
-            "name": "n1", "listen": self.listen or "127.0.0.1:%d" % free_port(),
-            "discovery": self.agent.address if self.agent else "127.0.0.1:%d" % free_port(),
-            "known": {"index": 1, "endpoints": list(self.rows)}, "settings": settings, "folder": self.folder})
+        said = checked(
+            NODE,
+            {
+                "name": "n1",
+                "listen": self.listen or "127.0.0.1:%d" % free_port(),
+                "discovery": self.agent.address if self.agent else "127.0.0.1:%d" % free_port(),
+                "known": {"index": 1, "endpoints": list(self.rows)},
+                "settings": settings,
+                "folder": self.folder,
+            },
+        )
         said["settings"] = configuration.terms(said["settings"])
         self.said, self.address = said, said["listen"]
         self.node = assemble(loop, said, self.read_again or (lambda: said))
         self.desk, self.turn, self.pool, self.door = (
-            self.node.desk, self.node.turn, self.node.pool, self.node.door)
+            self.node.desk,
+            self.node.turn,
+            self.node.pool,
+            self.node.door,
+        )
         # A watch may wait for less than a deployment's would: what comes after it is the same.
         self.node.watch.wait = self.watch_wait or self.node.watch.wait
         self.serving = asyncio.create_task(self.node.serve())
@@ -231,11 +263,20 @@
         """What a node holds of invocations that are over: entries, forwards, lines, slots, leases."""
         d, pool = self.desk.dispatcher, self.pool
         busy = [line for line in pool.lines if line.call or line not in line.endpoint.idle]
-        return {name: what for name, what in (
-            ("owed", self.desk.owed), ("invocations", d.invs), ("held", [i for i in d.held if i.held]),
-            ("leases", d.leases), ("out", [e for e in d.fleet.all.values() if e.out or e.used]),
-            ("flights", [e for e in pool.endpoints.values() if e.flights]), ("busy lines", busy),
-            ("opening", pool.opening)) if what}
+        return {
+            name: what
+            for name, what in (
+                ("owed", self.desk.owed),
+                ("invocations", d.invs),
+                ("held", [i for i in d.held if i.held]),
+                ("leases", d.leases),
+                ("out", [e for e in d.fleet.all.values() if e.out or e.used]),
+                ("flights", [e for e in pool.endpoints.values() if e.flights]),
+                ("busy lines", busy),
+                ("opening", pool.opening),
+            )
+            if what
+        }
 
     async def __aexit__(self, kind, *_):
         if kind is not None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,16 +12,33 @@
 HEALTHY = "healthy"
 
 
-def dispatcher(effect=IDEMPOTENT, group="zone", nodes=1, me=0, cancels=True, asks=False, back=0,
-               window=100_000, cross=0.0, progress=10_000, seed=7,
-               probes=False, split=0, starts=True, tenants=None, budget=(0, 0, 0)):
+def dispatcher(
+    effect=IDEMPOTENT,
+    group="zone",
+    nodes=1,
+    me=0,
+    cancels=True,
+    asks=False,
+    back=0,
+    window=100_000,
+    cross=0.0,
+    progress=10_000,
+    seed=7,
+    probes=False,
+    split=0,
+    starts=True,
+    tenants=None,
+    budget=(0, 0, 0),
+):
     ops = {"op": Operation("op", effect, group, window, 2_500, 2.0, 1.0)}
     chance = Chance(seed)
     fleet = brain.Fleet("a", me, nodes, 0.3, 80_000, 3.0, 250, progress, cross, split)
-    parts = Parts(brain.Cutoffs(chance, nodes), fleet, brain.Shares(tenants or {}, nodes),
-                  brain.Budget(*budget))
-    return brain.Dispatcher(chance, parts, ops, 50, True, Means(cancels, starts, probes, asks),
-                            Bounds(5, back, 1_000))
+    parts = Parts(
+        brain.Cutoffs(chance, nodes), fleet, brain.Shares(tenants or {}, nodes), brain.Budget(*budget)
+    )
+    return brain.Dispatcher(
+        chance, parts, ops, 50, True, Means(cancels, starts, probes, asks), Bounds(5, back, 1_000)
+    )
 
 
 def rows(*ids, zone="a", state=HEALTHY, born=0):
@@ -147,8 +164,10 @@
             self.ready.pop(0)()
 
 
-HAND_IN = (b"POST /op/k?q=1 HTTP/1.1\r\nX-Request-ID: r1\r\nX-Timeout-Ms: 4000\r\nIdempotency-Key: i1\r\n"
-           b"Content-Length: 3\r\n\r\nabc")
+HAND_IN = (
+    b"POST /op/k?q=1 HTTP/1.1\r\nX-Request-ID: r1\r\nX-Timeout-Ms: 4000\r\nIdempotency-Key: i1\r\n"
+    b"Content-Length: 3\r\n\r\nabc"
+)
 
 
 NOW = 1_000_000
@@ -167,7 +186,7 @@
     loop, told = Loop(), Told()
     turn = still(loop)
     pool = Pool(loop, turn, 1_000_000, 2_500, lines)
-    pool.wary = 0      # the clock stands still: no line cools down
+    pool.wary = 0  # the clock stands still: no line cools down
     desk = Desk(told, turn, pool, turn.gauges, 5, 100, b"/alive", 5_000, 200, 50)
     door = Door(turn, {"op": 40_000}, desk.take, desk.news, desk.left, most, share, 60_000)
     turn.decide, turn.carry = told.decide, desk.do
@@ -179,7 +198,9 @@
     node.client = lambda: join(Client(door))
     node.hand_in = lambda: (say(node.client(), HAND_IN), loop.go())[0]
     node.forward = lambda name="s-1", allowed=9_000: (
-        desk.do(turn.clock(), ("forward", b"r1", name, allowed)), loop.go())
+        desk.do(turn.clock(), ("forward", b"r1", name, allowed)),
+        loop.go(),
+    )
     node.ends = lambda: [x[:5] for x in told.heard if x[0] == "ended"]
     return node
 
@@ -189,6 +210,19 @@
     return b"POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-__all__ = ["DEDUPLICATED", "HAND_IN", "IDEMPOTENT", "NON_IDEMPOTENT", "NOW", "Several", "dispatcher", "floor",
-           "join", "news",
-           "pull", "rows", "say", "still"]
+__all__ = [
+    "DEDUPLICATED",
+    "HAND_IN",
+    "IDEMPOTENT",
+    "NON_IDEMPOTENT",
+    "NOW",
+    "Several",
+    "dispatcher",
+    "floor",
+    "join",
+    "news",
+    "pull",
+    "rows",
+    "say",
+    "still",
+]
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -24,7 +24,7 @@
         (NON_IDEMPOTENT, "all", FAULT, "b", "error", "error"),
         (NON_IDEMPOTENT, "all", TIMEOUT, "b", "error", "error"),
         (DEDUPLICATED, "zone", TIMEOUT, "a", "forward", "error"),
-        (DEDUPLICATED, "zone", TIMEOUT, "b", "", "error"),   # the first executor may come back in time
+        (DEDUPLICATED, "zone", TIMEOUT, "b", "", "error"),  # the first executor may come back in time
         (DEDUPLICATED, "all", TIMEOUT, "b", "forward", "throttle"),
         (DEDUPLICATED, "zone", FULL, "b", "forward", "throttle"),
     ]
@@ -95,7 +95,7 @@
 
 
 def test_an_executor_that_turns_one_operation_away_gets_the_others():
-    d = dispatcher()      # guards against a partial fault that takes whole executors out
+    d = dispatcher()  # guards against a partial fault that takes whole executors out
     d.operations["other"] = Operation("other", IDEMPOTENT, "zone", 0, 2_500, 2.0, 1.0)
     d.listed(10, True, rows(1))
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
@@ -115,7 +115,7 @@
 
 
 def test_waiting_own_work_takes_credit_away():
-    d = dispatcher()      # guards against stacking work at an executor that does not start what it has
+    d = dispatcher()  # guards against stacking work at an executor that does not start what it has
     d.listed(10, True, rows(1))
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
     assert len(pull(d, 10, "forward")) == 1
@@ -126,7 +126,7 @@
 
 
 def test_a_repeat_has_only_the_slack_of_its_first_try():
-    d = dispatcher()      # guards against work that a client's retry asks for and that can only end late
+    d = dispatcher()  # guards against work that a client's retry asks for and that can only end late
     d.listed(10, True, rows(1))
     d.taken(10, 5, "op", None, 50_010, 1_000, 1)
     assert [x[0] for x in pull(d, 10)] == ["forward"]
@@ -137,8 +137,12 @@
 def test_a_client_with_little_time_left_is_answered_at_once():
     # Sent while its size fitted, such work ended as errored in a full fleet and pushed others into lateness:
     # 637 of 5,000 forwards timed out at 200 nodes, 7 without that (join+mass 0.59 and 0.69).
-    for left, size, what in ((49_000, 1_000, "forward"), (30_000, 1_000, "throttle"),
-                             (4_000, 1_000, "throttle"), (4_000, 9_000, "throttle")):
+    for left, size, what in (
+        (49_000, 1_000, "forward"),
+        (30_000, 1_000, "throttle"),
+        (4_000, 1_000, "throttle"),
+        (4_000, 9_000, "throttle"),
+    ):
         d = dispatcher()
         d.listed(10, True, rows(1))
         d.operations["op"].span = 50_000
@@ -167,7 +171,7 @@
 
 
 def test_opening_a_connection_is_no_wait_at_the_executor():
-    for opened, under in ((True, False), (False, True)):      # guards against far executors losing all credit
+    for opened, under in ((True, False), (False, True)):  # guards against far executors losing all credit
         d = dispatcher()
         d.listed(10, True, rows(1))
         for i in range(8):
@@ -182,8 +186,12 @@
 
 def test_a_reset_between_answers_does_not_write_an_executor_off():
     # guards against a few broken connections that leave a node without executors
-    for outcomes, off in (((RESET,), False), ((RESET, "ok", RESET), False),
-                          ((RESET, RESET), True), ((FAULT,), True)):
+    for outcomes, off in (
+        ((RESET,), False),
+        ((RESET, "ok", RESET), False),
+        ((RESET, RESET), True),
+        ((FAULT,), True),
+    ):
         d = dispatcher()
         d.listed(10, True, rows(1))
         for i, outcome in enumerate(outcomes):
@@ -196,7 +204,7 @@
 
 
 def test_without_start_notes_work_does_not_pass_for_waiting():
-    d = dispatcher()      # guards against holding all work back where nothing tells that a job has begun
+    d = dispatcher()  # guards against holding all work back where nothing tells that a job has begun
     d.means = d.means._replace(starts=False)
     d.listed(10, True, rows(1))
     for i, now in enumerate((10, 1_000)):
@@ -205,9 +213,9 @@
 
 
 def test_trial_cuts_are_few_until_their_effect_is_known():
-    d = dispatcher()      # guards against cutting a whole refit long while cancels free nothing
+    d = dispatcher()  # guards against cutting a whole refit long while cancels free nothing
     d.listed(10, True, rows(1, 2))
-    d.cutoffs.best, d.cutoffs.at = [500], 10 ** 9
+    d.cutoffs.best, d.cutoffs.at = [500], 10**9
     for e in d.fleet.listed:
         e.credit = 40.0
     for i in range(40):
@@ -219,7 +227,7 @@
 
 
 def test_small_work_does_not_pay_for_another_zone():
-    for size, crosses in ((400, False), (9_000, True)):      # guards against crossing for less than it costs
+    for size, crosses in ((400, False), (9_000, True)):  # guards against crossing for less than it costs
         d = dispatcher(cross=0.13)
         d.operations["op"].mean = 4_000.0
         d.listed(10, True, rows(1, zone="b"))
@@ -229,7 +237,7 @@
 
 
 def test_an_executor_that_errors_at_once_draws_no_more_work():
-    d, sent = dispatcher(NON_IDEMPOTENT), 0      # guards against the black hole: errors free its slots first
+    d, sent = dispatcher(NON_IDEMPOTENT), 0  # guards against the black hole: errors free its slots first
     d.listed(10, True, rows(1))
     for i in range(100):
         d.taken(10 + 200 * i, i, "op", None, 90_000, 1_000, 1)
@@ -241,7 +249,7 @@
 
 
 def test_one_pull_looks_at_few_of_many_executors():
-    d, asked = dispatcher(), []      # guards against a node's CPU growing with the fleet
+    d, asked = dispatcher(), []  # guards against a node's CPU growing with the fleet
     d.listed(10, True, rows(*range(300)))
     d.fleet.ready = lambda e, now: asked.append(e) or True
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
@@ -249,7 +257,7 @@
 
 
 def test_newest_first():
-    d = dispatcher()      # guards against oldest first, by which every answer is late under overload
+    d = dispatcher()  # guards against oldest first, by which every answer is late under overload
     d.listed(10, True, [])
     for i in range(3):
         d.taken(10 + i, i, "op", None, 50_000, 1_000, 1)
@@ -260,7 +268,7 @@
 def test_cut_restarts_a_tier_up_only_after_the_cancelled_outcome():
     d = dispatcher()
     d.listed(10, True, rows(1, 2, 3, 4))
-    d.cutoffs.best, d.cutoffs.freed, d.cutoffs.at = [500], 9, 10 ** 9
+    d.cutoffs.best, d.cutoffs.freed, d.cutoffs.at = [500], 9, 10**9
     d.fleet.lay(0.5)
     low = {e.id for e in d.fleet.listed if e.tier == 0}
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
@@ -276,7 +284,7 @@
 def test_score_against_figures_worked_by_hand():
     score, moment = brain.Cutoffs.score, brain.Cutoffs.moment
     cutoffs = brain.Cutoffs(Chance(1), 1)
-    for a in (1.0, 2.0):     # the log forms are the limits of the power forms
+    for a in (1.0, 2.0):  # the log forms are the limits of the power forms
         for j in (1, 2):
             near = (moment((1, 100, a - 1e-4), j, 1, 100) + moment((1, 100, a + 1e-4), j, 1, 100)) / 2
             assert isclose(moment((1, 100, a), j, 1, 100), near, rel_tol=1e-3)
@@ -292,13 +300,13 @@
     assert isclose(score(cutoffs, (1, 100, 1.0), [10], [(1, 1.0), (1, 1.0)], rate), wanted, rel_tol=1e-9)
     assert score(cutoffs, (1, 100, 1.0), [], [(1, 1.0)], rate * 2.1) == inf
     kept = score(cutoffs, (1, 100, 1.0), [10], [(1, 1.0), (1, 1.0)], rate, 1.0)
-    assert kept > wanted     # cancels that free nothing cost
+    assert kept > wanted  # cancels that free nothing cost
 
 
 def test_fit_recovers_its_law_with_and_without_cuts():
     for alpha in (0.6, 1.0, 1.4):
         chance = random.Random(5)
-        sizes = [(1 - chance.random() * (1 - 1000 ** -alpha)) ** (-1 / alpha) for _ in range(3000)]
+        sizes = [(1 - chance.random() * (1 - 1000**-alpha)) ** (-1 / alpha) for _ in range(3000)]
         assert abs(brain.Cutoffs.fit(sizes)[2] - alpha) < 0.1
         below = [x for x in sizes if x <= 300] + [1000.0]
         assert abs(brain.Cutoffs.fit(below, [300] * (len(sizes) - len(below)))[2] - alpha) < 0.1
@@ -334,7 +342,7 @@
 
 
 def test_after_a_mass_restart_all_nodes_ask_soon_but_not_at_once():
-    first = []      # guards against nodes that go on for seconds with a list from before a release
+    first = []  # guards against nodes that go on for seconds with a list from before a release
     for seed in range(40):
         d = dispatcher(asks=True, nodes=40, seed=seed)
         d.unlisted(0)
@@ -347,17 +355,26 @@
 
 
 def test_same_decisions_under_any_hash_seed():
-    code = ("import sys; sys.path.insert(0, 'tests')\nfrom helpers import *\nd = dispatcher()\n"
-            "d.listed(10, True, rows(*range(9)))\n"
-            "for i in range(40): d.taken(10 + i, i, 'op', None, 50000, 900, 1); print(pull(d, 10 + i))")
-    seen = {subprocess.run([sys.executable, "-c", code], env={**os.environ, "PYTHONHASHSEED": h}, check=True,
-                           capture_output=True).stdout for h in "012"}
+    code = (
+        "import sys; sys.path.insert(0, 'tests')\nfrom helpers import *\nd = dispatcher()\n"
+        "d.listed(10, True, rows(*range(9)))\n"
+        "for i in range(40): d.taken(10 + i, i, 'op', None, 50000, 900, 1); print(pull(d, 10 + i))"
+    )
+    seen = {
+        subprocess.run(
+            [sys.executable, "-c", code],
+            env={**os.environ, "PYTHONHASHSEED": h},
+            check=True,
+            capture_output=True,
+        ).stdout
+        for h in "012"
+    }
     assert len(seen) == 1 and b"forward" in seen.pop()
 
 
 def test_where_own_answers_are_thin_one_is_asked_and_passed_over_when_full():
     for report, taken in (((3, 1), True), ((0, 43), False)):
-        d = dispatcher(nodes=200, probes=True)      # guards against hundreds of nodes that send blindly
+        d = dispatcher(nodes=200, probes=True)  # guards against hundreds of nodes that send blindly
         d.listed(10, True, rows(1, 2, 3, 4))
         d.taken(10, 5, "op", None, 50_000, 1_000, 1)
         asked = [x[1] for x in pull(d, 10, "probe")]
@@ -399,13 +416,13 @@
 
 
 def test_when_own_work_starts_late_one_refusal_is_enough():
-    for late, asked in ((1.0, 1), (0.0, 2)):      # guards against a herd under overload, when all ask twice
+    for late, asked in ((1.0, 1), (0.0, 2)):  # guards against a herd under overload, when all ask twice
         d = dispatcher(nodes=200, probes=True, back=20_000)
         d.listed(10, True, rows(1, 2) + rows(3, 4, zone="b"))
         d.fleet.late[0], d.fleet.slots = late, {"std": 4}
         d.taken(10, 5, "op", None, 50_000, 1_000, 1)
         for _ in range(asked):
-            (_, id), = pull(d, 20, "probe")
+            ((_, id),) = pull(d, 20, "probe")
             d.probed(20, id, "ok", 0, 90)
         assert [x[0] for x in pull(d, 20)] == ["throttle"]
 
@@ -449,7 +466,7 @@
             if decided[0][0] == "probe":
                 asked += 1
                 other = decided[0][1]
-                assert pull(d, 25) == []      # its answer is waited for
+                assert pull(d, 25) == []  # its answer is waited for
                 d.probed(30, other, "ok", 2.0, 2.0)
                 decided = pull(d, 30)
                 assert decided[0][2] == other
@@ -466,8 +483,9 @@
         d.fleet.mean, d.fleet.slots = 5_000, {"std": 4.0}
         for i in range(40):
             for told in (False, True):
-                f = SimpleNamespace(sent=10_000 * i, opened=False, guess=0, told=told,
-                                    ahead=3_000 * (not told))
+                f = SimpleNamespace(
+                    sent=10_000 * i, opened=False, guess=0, told=told, ahead=3_000 * (not told)
+                )
                 took = 20 if told or gone else 3_000
                 d.fleet.began(d.fleet.all[1], f.sent + took, f, took)
         d.probed(500_000, 1, "ok", 0.0, 8.0)
@@ -476,12 +494,12 @@
 
 
 def test_a_young_executor_is_drawn_at_its_part_only_when_the_others_are_not_ready():
-    sent = 0      # guards against all nodes meeting at the one that has just started (rule 4), known or not
+    sent = 0  # guards against all nodes meeting at the one that has just started (rule 4), known or not
     for seed in range(200):
         d = dispatcher(nodes=200, me=0, probes=True, seed=seed)
         d.listed(100_000, True, rows(1, born=99_990) + rows(*range(2, 22)))
         for e in d.fleet.listed:
-            e.shut, e.heard = (0 if e.id == 1 else 10 ** 9), 99_999
+            e.shut, e.heard = (0 if e.id == 1 else 10**9), 99_999
         d.taken(100_000, 5, "op", None, 150_000, 1_000, 1)
         sent += any(pull(d, now, "probe") for now in range(100_000, 101_000, 100))
     assert sent < 200 * 3 / 20
@@ -530,10 +548,10 @@
             d.listed(0, True, rows(*range(24)))
             d.listed(120_000, False, rows(*young, born=100_000))
             for e in d.fleet.listed:
-                e.shut = 0 if e.id in young or old_have_room else 10 ** 9
+                e.shut = 0 if e.id in young or old_have_room else 10**9
             for i in range(40):
                 d.fleet.sends.add(80_000 + i * 1_000)
-            for i in range(40):      # ten a second and node, from 2 s of the young ones' age on
+            for i in range(40):  # ten a second and node, from 2 s of the young ones' age on
                 now = 120_000 + i * 1_000
                 d.taken(now, i, "op", None, now + 50_000, 1_000, 1)
                 for _, id in pull(d, now, "probe"):
@@ -554,11 +572,11 @@
 
 
 def test_nodes_together_send_an_executor_no_more_than_its_credit():
-    s = Several(6, rows(1, 2))      # guards against many nodes that each see room where there is none
+    s = Several(6, rows(1, 2))  # guards against many nodes that each see room where there is none
     for by, d in enumerate(s.all):
         d.taken(10, by, "op", None, 50_010, 1_000, 1)
     first = forwards(s.go(10, 300))
-    assert len(first) == 4 and sorted(x[2] for x in first) == [1, 1, 2, 2]      # credit is two at first
+    assert len(first) == 4 and sorted(x[2] for x in first) == [1, 1, 2, 2]  # credit is two at first
     for by, id, _ in first:
         s.all[by].started(300, id, 0)
         s.all[by].ended(320, id, 0, OK, True)
@@ -567,7 +585,7 @@
 
 
 def test_a_keeper_without_a_word_is_left_for_the_next_and_a_word_lost_costs_no_executor():
-    for outage in (range(6), (0,)):      # guards against a dead keeper that takes a zone's executors with it
+    for outage in (range(6), (0,)):  # guards against a dead keeper that takes a zone's executors with it
         s = Several(6, rows(1, 2))
         keeper = s.all[0].fleet.keeper(("a", 0), 10)
         s.lost = lambda by, to: keeper in (by, to) and to in (keeper, *outage)
@@ -584,7 +602,7 @@
 
 
 def test_what_was_lent_comes_back_when_its_invocation_has_left_or_its_node_is_dead():
-    for dead in (False, True):      # guards against books that fill up with work that nobody has
+    for dead in (False, True):  # guards against books that fill up with work that nobody has
         s = Several(4, rows(1))
         keeper = s.all[0].fleet.keeper(("a", 0), 10)
         asker = (keeper + 1) % 4
@@ -601,7 +619,7 @@
 
 
 def test_the_own_list_goes_before_what_another_node_lends():
-    for state, sent in (("draining", 0), ("gone", 0), ("healthy", 1)):      # rule 3 is each node's own
+    for state, sent in (("draining", 0), ("gone", 0), ("healthy", 1)):  # rule 3 is each node's own
         s = Several(4, rows(1))
         asker = (s.all[0].fleet.keeper(("a", 0), 10) + 1) % 4
         s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
@@ -616,22 +634,34 @@
     d.fleet.keeper = lambda group, now, silent=False: 0
     rank = d.fleet.listed[0].rank
     plain = ("ask", 7, rank, 40_000, 1_000, 0, 1, 0, 0, 0, 0)
-    for by, word in ((1, plain), (1, plain), (9, plain), (-1, plain), (0, plain),
-                     (2, ("ask", 7, 99, *plain[3:])),
-                     (2, (*plain[:8], 200, 0, 0)),
-            (2, ("ask", 8, rank, 2 ** 32 - 1, 2 ** 32 - 1, 255, 255, 255, 0, 255, 1)),
-                     (3, ("lend", 7, rank)), (3, ("lend", 7, 5)), (3, ("none", 7, True)),
-            (3, ("began", 7, 2 ** 32 - 1, True)),
-                     (3, ("news", 7)), (3, ("end", 7, OK, 25.0)), (3, ("end", 7, FAULT, None))):
+    for by, word in (
+        (1, plain),
+        (1, plain),
+        (9, plain),
+        (-1, plain),
+        (0, plain),
+        (2, ("ask", 7, 99, *plain[3:])),
+        (2, (*plain[:8], 200, 0, 0)),
+        (2, ("ask", 8, rank, 2**32 - 1, 2**32 - 1, 255, 255, 255, 0, 255, 1)),
+        (3, ("lend", 7, rank)),
+        (3, ("lend", 7, 5)),
+        (3, ("none", 7, True)),
+        (3, ("began", 7, 2**32 - 1, True)),
+        (3, ("news", 7)),
+        (3, ("end", 7, OK, 25.0)),
+        (3, ("end", 7, FAULT, None)),
+    ):
         words.deliver(d, 20, by, words.pack(*word))
     told = pull(d, 20, "tell")
     assert sorted((x[1], x[2]) for x in told if x[2] == "lend") == [(1, "lend"), (2, "lend")]
     # Nothing of it is used.
     assert [x[1:] for x in told if x[2] == "end"] == [(3, "end", 7, "moot", None)] * 2
-    assert all(inv.due <= 20 + inv.op.timeout and inv.size <= inv.op.timeout and inv.slots <= 64
-               for inv in d.invs.values())
+    assert all(
+        inv.due <= 20 + inv.op.timeout and inv.size <= inv.op.timeout and inv.slots <= 64
+        for inv in d.invs.values()
+    )
     for word in (("end", 7, OK, None), ("end", 7, OK, None), ("began", 7, 10, False), ("news", 7)):
-        words.deliver(d, 60, 1, words.pack(*word))      # repeated, and after the end
+        words.deliver(d, 60, 1, words.pack(*word))  # repeated, and after the end
     assert d.fleet.all[told[0][4] == rank and d.fleet.listed[0].id or 2].credit <= 3
     assert len(d.invs) == 1
 
@@ -640,14 +670,14 @@
     # Guards rule 4 where nodes lend by one book.
     s = Several(20, rows(1, born=9_000) + rows(*range(2, 8)))
     work, queues = {}, {}
-    for i in range(400):      # a hundred a second
+    for i in range(400):  # a hundred a second
         now = 10_100 + 100 * i
         s.all[i % 20].taken(now, now, "op", None, now + 50_000, 4_000, 1)
         for at, by, x in s.go(now, now + 90):
             if x[0] == "forward":
                 queues.setdefault(x[2], []).append([by, x[1], 0])
                 work[x[2], i // 100] = work.get((x[2], i // 100), 0) + 4_000
-        for queue in queues.values():      # each runs two at once
+        for queue in queues.values():  # each runs two at once
             for f in [f for f in queue if f[2] and f[2] <= now]:
                 s.all[f[0]].ended(now, f[1], 0, OK, True)
                 queue.remove(f)
@@ -673,7 +703,7 @@
     d.listed(10, True, rows(1, 2))
     for now, free, credit in ((1_000, 3.9, 4), (2_000, 0.2, 4), (3_000, None, 4)):
         d.taken(now, now, "op", None, now + 50_000, 1_000, 1)
-        (_, id, e, _), = pull(d, now, "forward")
+        ((_, id, e, _),) = pull(d, now, "forward")
         d.ended(now + 500, id, 0, OK, True, free)
         assert d.fleet.all[e].credit == credit or free is None
     d.listed(4_000, True, rows(1))
@@ -681,7 +711,7 @@
     for free, credit in ((1.0, 6.0), (0.0, 4.0)):
         for now in range(5_000, 605_000, 10_000):
             d.taken(now, now, "op", None, now + 50_000, 1_000, 1)
-            (_, id, e, _), = pull(d, now, "forward")
+            ((_, id, e, _),) = pull(d, now, "forward")
             d.fleet.all[e].used = 20
             d.ended(now + 500, id, 0, OK, True, free)
             d.fleet.all[e].used = 0
@@ -719,6 +749,7 @@
                     d.started(now + 5, id, 0)
                     running.append((now + 2_000, id, 0))
                     sent[now // 10_000] = sent.get(now // 10_000, 0) + 1
+
     play(0, 200_000)
     d.listed(200_000, True, rows(*"hijklmn", born=200_000))
     play(200_000, 280_000)
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,5 @@
 """The budget for further forwards (rule 5), reckoned here by lists of times without the module's rings."""
+
 import asyncio
 import random
 
@@ -19,15 +20,22 @@
 
 def test_what_may_go_by_what_was_taken_and_sent():
     for free, share, taken, sent, now, left in (
-            (2, 0.2, [], [], 0, 2), (2, 0.2, [0] * 10, [], 0, 4), (2, 0.2, [0] * 10, [0, 0, 0], 0, 1),
-            (0, 0.1, [0] * 9, [], 0, 0.9), (0, 0, [0] * 99, [], 0, 0), (2, 0, [], [0, 0], WINDOW - 1, 0),
-            # At the edge what was taken leaves before, what was sent after the window's end, by a bucket.
-            (2, 0.2, [0] * 10, [], WINDOW, 2), (2, 0, [], [0, 0], WINDOW, 0),
-            (2, 0, [], [0], 1.05 * WINDOW, 2),
-            (1, 0.5, [30_000] * 4, [0, 30_000], 1.05 * WINDOW, 2)):
+        (2, 0.2, [], [], 0, 2),
+        (2, 0.2, [0] * 10, [], 0, 4),
+        (2, 0.2, [0] * 10, [0, 0, 0], 0, 1),
+        (0, 0.1, [0] * 9, [], 0, 0.9),
+        (0, 0, [0] * 99, [], 0, 0),
+        (2, 0, [], [0, 0], WINDOW - 1, 0),
+        # At the edge what was taken leaves before, what was sent after the window's end, by a bucket.
+        (2, 0.2, [0] * 10, [], WINDOW, 2),
+        (2, 0, [], [0, 0], WINDOW, 0),
+        (2, 0, [], [0], 1.05 * WINDOW, 2),
+        (1, 0.5, [30_000] * 4, [0, 30_000], 1.05 * WINDOW, 2),
+    ):
         budget = Budget(free, share, WINDOW)
-        for at, ring in sorted([(t, budget.took) for t in taken] + [(t, budget.again) for t in sent],
-                               key=lambda x: x[0]):
+        for at, ring in sorted(
+            [(t, budget.took) for t in taken] + [(t, budget.again) for t in sent], key=lambda x: x[0]
+        ):
             ring.add(at)
         assert budget.left(int(now))[0] == pytest.approx(left), (free, share, taken, sent, now)
 
@@ -56,10 +64,15 @@
 
     def __init__(self, seed):
         self.random = random.Random(seed)
-        self.terms = self.random.choice(((2, 0.2, WINDOW), (0, 0.1, WINDOW), (5, 0, WINDOW),
-                                         (1, 1.5, WINDOW)))
-        self.d = dispatcher(self.random.choice((IDEMPOTENT, NON_IDEMPOTENT)), budget=self.terms, seed=seed,
-                            cancels=seed % 2 == 0)
+        self.terms = self.random.choice(
+            ((2, 0.2, WINDOW), (0, 0.1, WINDOW), (5, 0, WINDOW), (1, 1.5, WINDOW))
+        )
+        self.d = dispatcher(
+            self.random.choice((IDEMPOTENT, NON_IDEMPOTENT)),
+            budget=self.terms,
+            seed=seed,
+            cancels=seed % 2 == 0,
+        )
         self.now, self.out, self.taken, self.sent, self.count = 10, [], [], [], 0
         self.d.listed(10, True, rows(*range(6)))
 
@@ -107,7 +120,7 @@
         for _ in range(60):
             play.step()
         further += len(play.sent)
-    assert further > 5_000      # else nothing was tried
+    assert further > 5_000  # else nothing was tried
 
 
 def test_a_process_that_has_given_its_budget_away_or_lost_its_heir_waits_a_window():
@@ -115,9 +128,9 @@
     old.again.add(100)
     new.recall(200, *old.books())
     assert old.left(300)[0] == 0 and new.left(300)[0] == 2
-    new.alone(300)      # its old process has ended
+    new.alone(300)  # its old process has ended
     assert new.left(300)[0] == 2
-    old.alone(400)      # the heir has died, and may have sent as many
+    old.alone(400)  # the heir has died, and may have sent as many
     assert old.left(WINDOW)[0] == 0 and old.left(400 + WINDOW * 21 // 20)[0] == 3
     # A predecessor that says nothing of its budget, and rings too short for a longer window.
     for books in (((), (), 0, 0), (*old.books()[:3], FOREVER)):
@@ -129,14 +142,28 @@
 def test_its_terms_are_refused_by_their_key():
     def terms(**rules):
         return {**TERMS, "rules": {**TERMS["rules"], **rules}}
+
     whole = {"extraFloor": 2, "resendRatio": 0.2, "lookBackMs": 5000}
     assert configuration.terms(terms(**whole))["rules"]["lookBackMs"] == 5000
-    cases = [({**whole, key: value}, key, "out of its range") for key, value in (
-        ("extraFloor", -1), ("resendRatio", -0.1), ("resendRatio", "17 %"), ("lookBackMs", 0),
-        ("lookBackMs", True))]
+    cases = [
+        ({**whole, key: value}, key, "out of its range")
+        for key, value in (
+            ("extraFloor", -1),
+            ("resendRatio", -0.1),
+            ("resendRatio", "17 %"),
+            ("lookBackMs", 0),
+            ("lookBackMs", True),
+        )
+    ]
     cases += [({k: v for k, v in whole.items() if k != key}, key, "is missing") for key in whole]
-    cases += [({key: whole[key]}, other, "is missing") for key, other in (
-        ("extraFloor", "resendRatio"), ("resendRatio", "extraFloor"), ("lookBackMs", "extraFloor"))]
+    cases += [
+        ({key: whole[key]}, other, "is missing")
+        for key, other in (
+            ("extraFloor", "resendRatio"),
+            ("resendRatio", "extraFloor"),
+            ("lookBackMs", "extraFloor"),
+        )
+    ]
     for rules, key, word in cases:
         with pytest.raises(configuration.Unusable) as problem:
             configuration.terms(terms(**rules), "settings.")
@@ -159,8 +186,10 @@
     async def story():
         address, file = ("127.0.0.1", free_port()), tmp_path / "config.json"
         workers = [await Refusing().start() for _ in range(4)]
-        known = {"index": 1, "endpoints": [{**ROW, "name": f"s-{i}", "address": w.address}
-                                           for i, w in enumerate(workers)]}
+        known = {
+            "index": 1,
+            "endpoints": [{**ROW, "name": f"s-{i}", "address": w.address} for i, w in enumerate(workers)],
+        }
 
         def write(**rules):
             settings = {**TERMS, "operations": EFFECTS, "rules": {**TERMS["rules"], **rules}}
@@ -168,6 +197,7 @@
 
         def read():
             return configuration.read_node({"BALANCER_CONFIG": str(file)})
+
         write()
         work = assemble(asyncio.get_running_loop(), read(), read)
         serving = asyncio.create_task(work.serve())
@@ -189,6 +219,7 @@
         for worker in workers:
             worker.server.close()
         return made
+
     logger.remove()
     # No rule: as many as the settings allow. One a window: spent already. Five: one is left. Half a rule is
     # refused, and the five are spent.
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -8,13 +8,30 @@
 from benchmarks.roles import SECOND
 
 ROLES = {
-    "voter", "node: agreement and maintenance", "holder of limits", "holder of limits, all full",
-    "node: limits", "node: limits, all full", "holder of limits, two full",
-    "node: limits, two full", "driver of a plan", "voter in a plan", "node in a plan",
-    "giver of an agreed configuration", "voter, agreed configuration", "node, agreed configuration",
-    "restart of all: busiest", "restart of all: node", "regions cut: busiest", "regions cut: node",
-    "an executor's place in the books", "an executor's place in the books, no probes",
-    "discovery, for each node", "a datagram through the loop", "a reload of the file", "a node process",
+    "voter",
+    "node: agreement and maintenance",
+    "holder of limits",
+    "holder of limits, all full",
+    "node: limits",
+    "node: limits, all full",
+    "holder of limits, two full",
+    "node: limits, two full",
+    "driver of a plan",
+    "voter in a plan",
+    "node in a plan",
+    "giver of an agreed configuration",
+    "voter, agreed configuration",
+    "node, agreed configuration",
+    "restart of all: busiest",
+    "restart of all: node",
+    "regions cut: busiest",
+    "regions cut: node",
+    "an executor's place in the books",
+    "an executor's place in the books, no probes",
+    "discovery, for each node",
+    "a datagram through the loop",
+    "a reload of the file",
+    "a node process",
     "a node process of a fleet",
 }
 KINDS = "full", "wanted", "probes", "what", "fleet"
@@ -35,8 +52,10 @@
         if kind not in smallest or shape.get("nodes", size) < smallest[kind][3].get("nodes", size):
             smallest[kind] = case
     shorter = {processes.process: {"span": 0.1}, roles.scene: {"span": 4 * SECOND}}
-    found = [(call, against, size, shape | shorter.get(call, {}))
-             for call, against, size, shape in smallest.values()]
+    found = [
+        (call, against, size, shape | shorter.get(call, {}))
+        for call, against, size, shape in smallest.values()
+    ]
     said = []
     rows = fleet.run(found, 3, said.append)
     assert not [line for line in said if line.startswith("failed")]
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -2,6 +2,7 @@
 
 The turn in which nodes that are told at once begin is seen to in test_brain.py.
 """
+
 from concurrent.futures import ProcessPoolExecutor
 from itertools import repeat
 
@@ -11,7 +12,7 @@
 from grebedyke import brain
 from grebedyke.brain import Fleet
 
-SECONDS = 18      # through the replacement, the burst and most restarts of the nodes
+SECONDS = 18  # through the replacement, the burst and most restarts of the nodes
 
 
 def without_weights(self, e, now, *more, spare=Fleet.spare):
@@ -31,8 +32,9 @@
 @pytest.mark.parametrize(("nodes", "seeds"), ((1, range(1, 7)), (5, range(1, 7)), (30, (2, 3, 7, 9))))
 def test_no_window_of_a_cold_executor_is_over_its_bound(nodes, seeds):
     with ProcessPoolExecutor(4) as beside:
-        for seed, (over, worst, windows, done) in zip(seeds, beside.map(played, seeds, repeat(nodes)),
-                                                      strict=True):
+        for seed, (over, worst, windows, done) in zip(
+            seeds, beside.map(played, seeds, repeat(nodes)), strict=True
+        ):
             assert over == [], (seed, worst)
             # Against a round in which next to nothing reaches them.
             assert windows > 30 and done > 100
@@ -43,9 +45,14 @@
     return one.over, one.worst, one.windows, one.done
 
 
-@pytest.mark.parametrize(("name", "broken"), (
-    ("spare", lambda self, e, now, *more: True), ("spare", without_weights),
-    ("failed", with_what_was_turned_away)))
+@pytest.mark.parametrize(
+    ("name", "broken"),
+    (
+        ("spare", lambda self, e, now, *more: True),
+        ("spare", without_weights),
+        ("failed", with_what_was_turned_away),
+    ),
+)
 def test_a_broken_build_is_seen(monkeypatch, name, broken):
     monkeypatch.setattr(Fleet, name, broken)
     assert len(Round(7, 30, SECONDS).run().over) > 4
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,5 @@
 """What people write: TOML with units, and one plain line for whatever is wrong with it."""
+
 from pathlib import Path
 
 import orjson
@@ -55,39 +56,57 @@
     conf = said["settings"]
     assert said["counts"] == 60 and conf["tickMs"] == 5 and conf["rules"]["coldFrom"] == 0.31
     assert conf["rules"]["rampTimeMs"] == 8600 and conf["operations"][0]["latencyObjectiveMs"] == 250
-    plain = {"name": "n1", "listen": "127.0.0.1:9000", "discovery": "127.0.0.1:9001", "counts": 60,
-             "settings": {
-        "balancers": 1, "me": 0, "tickMs": 5, "limits": {"maxForwards": 5}, "operations": [
-            {"name": "hold", "idempotency": "safe", "latencyObjectiveMs": 250, "clientTimeoutMs": 6000},
-            {"name": "pay", "idempotency": "unsafe", "latencyObjectiveMs": 250, "clientTimeoutMs": 5000}],
-        "rules": {"drainGraceMs": 2000, "fallMultiple": 3, "coldFrom": 0.31, "rampTimeMs": 8600,
-                  "tipAfterMs": 1000}}}
+    plain = {
+        "name": "n1",
+        "listen": "127.0.0.1:9000",
+        "discovery": "127.0.0.1:9001",
+        "counts": 60,
+        "settings": {
+            "balancers": 1,
+            "me": 0,
+            "tickMs": 5,
+            "limits": {"maxForwards": 5},
+            "operations": [
+                {"name": "hold", "idempotency": "safe", "latencyObjectiveMs": 250, "clientTimeoutMs": 6000},
+                {"name": "pay", "idempotency": "unsafe", "latencyObjectiveMs": 250, "clientTimeoutMs": 5000},
+            ],
+            "rules": {
+                "drainGraceMs": 2000,
+                "fallMultiple": 3,
+                "coldFrom": 0.31,
+                "rampTimeMs": 8600,
+                "tipAfterMs": 1000,
+            },
+        },
+    }
     assert read(tmp_path, orjson.dumps(plain), "node.json") == said
 
 
 def test_check_names_file_line_key_and_reason_in_one_line(tmp_path):
     for before, after, words in (
-            ('coldFrom = "31 %"', 'coldFrom = "2 s"',
-             "settings.rules.coldFrom is a share, not a time: '2 s'"),
-            ('tipAfterMs = "1 s"', 'tipAfterMs = "17 %"', "settings.rules.tipAfterMs is a time, not a share"),
-            ("coldFrom =", "coldForm =", "settings.rules.coldForm is unknown, coldFrom is meant?"),
-            ("[settings.limits]", "[settings.limitations]", "settings.limitations is unknown"),
-            ('idempotency = "unsafe"', 'idempotency = "sure"', "idempotency is unknown"),
-            ("clientTimeoutMs = 5000", "clientTimeoutMs = -1", "[1].clientTimeoutMs is out of its range"),
-            # What is missing has no line: that of the row which lacks it.
-            ('[[settings.operations]]\nname = "pay"\nidempotency = "unsafe"',
-             '[[settings.operations]]\nname = "pay"',
-             "operations[1].idempotency is missing"),
-            ('tickMs = "5 ms"', 'tickMs = "5 min ago"', "settings.tickMs is out of its range"),
-            ('tickMs = "5 ms"', 'tickMs = "5 ms"\ntickMs = 6', "not TOML"),
-            ('name = "n1"', "name =", "not TOML")):
+        ('coldFrom = "31 %"', 'coldFrom = "2 s"', "settings.rules.coldFrom is a share, not a time: '2 s'"),
+        ('tipAfterMs = "1 s"', 'tipAfterMs = "17 %"', "settings.rules.tipAfterMs is a time, not a share"),
+        ("coldFrom =", "coldForm =", "settings.rules.coldForm is unknown, coldFrom is meant?"),
+        ("[settings.limits]", "[settings.limitations]", "settings.limitations is unknown"),
+        ('idempotency = "unsafe"', 'idempotency = "sure"', "idempotency is unknown"),
+        ("clientTimeoutMs = 5000", "clientTimeoutMs = -1", "[1].clientTimeoutMs is out of its range"),
+        # What is missing has no line: that of the row which lacks it.
+        (
+            '[[settings.operations]]\nname = "pay"\nidempotency = "unsafe"',
+            '[[settings.operations]]\nname = "pay"',
+            "operations[1].idempotency is missing",
+        ),
+        ('tickMs = "5 ms"', 'tickMs = "5 min ago"', "settings.tickMs is out of its range"),
+        ('tickMs = "5 ms"', 'tickMs = "5 ms"\ntickMs = 6', "not TOML"),
+        ('name = "n1"', "name =", "not TOML"),
+    ):
         assert before in TEXT
         text = TEXT.replace(before, after, 1)
         (tmp_path / "node.toml").write_text(text)
         result = CliRunner().invoke(cli, ("check", str(tmp_path / "node.toml")))
         said = result.output.strip()
         assert result.exit_code == 2 and "\n" not in said and words in said, (after, said)
-        line = 1 + text[:text.index(after)].count("\n")
+        line = 1 + text[: text.index(after)].count("\n")
         assert words == "not TOML" or f"node.toml:{line}: " in said, (after, said)
 
 
@@ -95,32 +114,40 @@
     (tmp_path / "folder.toml").mkdir()
     text = orjson.dumps(told(), option=orjson.OPT_INDENT_2).decode()
     for name, data, words in (
-            ("folder.toml", None, "cannot be read: Is a directory"), ("absent.json", None, "No such file"),
-            ("large.json", b" " * (50 << 20), "larger than 8 MB"),
-            ("latin.toml", "name = 'é'".encode("latin-1"), "not UTF-8"),
-            ("latin.json", b'{"name": "\xe9"}', "not UTF-8"),
-            ("nan.json", b'{"counts": NaN}', "NaN is no number"),
-            ("deep.json", b"[" * 200_000, "not JSON"), ("list.json", b"[]", "is not an object"),
-            ("twice.json", text.replace('"name"', '"name": "x",\n  "name"', 1).encode(),
-             "key name stands twice"),
-            ("line.json", text.replace('"tickMs": 5', '"tickMs": -5').encode(), "line.json:")):
+        ("folder.toml", None, "cannot be read: Is a directory"),
+        ("absent.json", None, "No such file"),
+        ("large.json", b" " * (50 << 20), "larger than 8 MB"),
+        ("latin.toml", "name = 'é'".encode("latin-1"), "not UTF-8"),
+        ("latin.json", b'{"name": "\xe9"}', "not UTF-8"),
+        ("nan.json", b'{"counts": NaN}', "NaN is no number"),
+        ("deep.json", b"[" * 200_000, "not JSON"),
+        ("list.json", b"[]", "is not an object"),
+        ("twice.json", text.replace('"name"', '"name": "x",\n  "name"', 1).encode(), "key name stands twice"),
+        ("line.json", text.replace('"tickMs": 5', '"tickMs": -5').encode(), "line.json:"),
+    ):
         if data is not None:
             (tmp_path / name).write_bytes(data)
         result = CliRunner().invoke(cli, ("check", str(tmp_path / name)))
         assert result.exit_code == 2 and words in result.output, result.output
         assert result.output.count("\n") == 1, result.output
         if name == "line.json":
-            line = 1 + text[:text.index('"tickMs"')].count("\n")
+            line = 1 + text[: text.index('"tickMs"')].count("\n")
             assert f"line.json:{line}: setting settings.tickMs" in result.output
 
 
 def test_explain_says_where_each_value_came_from(tmp_path):
     (tmp_path / "node.toml").write_text(TEXT)
-    result = CliRunner().invoke(cli, ("check", str(tmp_path / "node.toml"), "--explain"),
-                                env={"BALANCER_NAME": "other"})
-    for line in ('name = "other"   (environment)', "settings.rules.coldFrom = 0.31   (file)",
-                 "settings.limits.probes = false   (default)", "limits.sockets = 1024   (default)",
-                 "settings.operations[1].clientTimeoutMs = 5000   (file)", "counts = 60   (file)"):
+    result = CliRunner().invoke(
+        cli, ("check", str(tmp_path / "node.toml"), "--explain"), env={"BALANCER_NAME": "other"}
+    )
+    for line in (
+        'name = "other"   (environment)',
+        "settings.rules.coldFrom = 0.31   (file)",
+        "settings.limits.probes = false   (default)",
+        "limits.sockets = 1024   (default)",
+        "settings.operations[1].clientTimeoutMs = 5000   (file)",
+        "counts = 60   (file)",
+    ):
         assert line in result.output.splitlines(), line
 
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,4 +1,5 @@
 """Settings of other customers: names, times that change, ticks."""
+
 import orjson
 import pytest
 from crossing import TERMS
@@ -10,11 +11,18 @@
 from grebedyke.service.switch import switch
 
 
-@pytest.mark.parametrize("name, path, header", (
-    ("Hívás", "Hívás".encode(), None), ("Hívás", b"H%C3%ADv%c3%a1s", "Hívás".encode()),
-    ("Hívás", "Hívás".encode("latin-1"), "Hívás".encode("latin-1")), ("100%41", b"100%41", b"100%41"),
-    ("100%41", b"100%2541", None), ("Gate.Open", b"Gate.Open", b"Gate.Open"),
-    ("a b", b"a%20b", b"a b")))
+@pytest.mark.parametrize(
+    "name, path, header",
+    (
+        ("Hívás", "Hívás".encode(), None),
+        ("Hívás", b"H%C3%ADv%c3%a1s", "Hívás".encode()),
+        ("Hívás", "Hívás".encode("latin-1"), "Hívás".encode("latin-1")),
+        ("100%41", b"100%41", b"100%41"),
+        ("100%41", b"100%2541", None),
+        ("Gate.Open", b"Gate.Open", b"Gate.Open"),
+        ("a b", b"a%20b", b"a b"),
+    ),
+)
 def test_an_operation_is_found_by_whatever_name_the_settings_give_it(name, path, header):
     # Names were read as Latin-1: every invocation of such an operation was answered 404.
     node = floor()
@@ -46,29 +54,44 @@
         client = say(node.client(), HAND_IN.replace(b"r1", b"r%d" % wait).replace(b"4000", b"%d" % wait))
         node.loop.go()
         assert [x[4] for x in node.told.heard if x[0] == "taken"] == (
-            [NOW + min(wait * 10, 20_000) - node.desk.margin] if taken else []), wait
+            [NOW + min(wait * 10, 20_000) - node.desk.margin] if taken else []
+        ), wait
         assert client.transport.written.startswith(b"HTTP/1.1 400") == (not taken)
 
 
 def test_a_longer_tick_does_not_send_again_beside_a_forward_whose_time_is_over():
-    terms = {**TERMS, "tickMs": 2, "operations": [{**TERMS["operations"][0], "idempotency": "safe",
-                                                    "latencyObjectiveMs": 20_000}]}
+    terms = {
+        **TERMS,
+        "tickMs": 2,
+        "operations": [{**TERMS["operations"][0], "idempotency": "safe", "latencyObjectiveMs": 20_000}],
+    }
     d = configuration.open_dispatcher("1", configuration.terms(orjson.loads(orjson.dumps(terms))))
     d.listed(10, True, [(f"s-{i}", "a", "m", 0, "healthy", 0, 1) for i in range(3)])
     d.taken(100, b"r1", "op", None, 80_100, 0, 1)
-    (_, id, first, _), = pull(d, 100, "forward")
+    ((_, id, first, _),) = pull(d, 100, "forward")
     switch(200, d, configuration.open_dispatcher("1", configuration.terms({**terms, "tickMs": 20})))
     over = 80_100 - 3 * 200
     d.ended(over, id, 0, TIMEOUT, False)
     assert [x[0] for x in pull(d, over)] == ["throttle"]
 
 
-@pytest.mark.parametrize("tick, shortest, left", (
-    (10, 100, 80), (5, 5000, 4960), (2, 300, 284), (20, 60, 48)))
+@pytest.mark.parametrize(
+    "tick, shortest, left", ((10, 100, 80), (5, 5000, 4960), (2, 300, 284), (20, 60, 48))
+)
 def test_short_client_timeouts_leave_time_for_a_forward(tick, shortest, left):
     # Steps of four ticks each before the due time ate 100 ms at ticks of 10 ms: nearly all was given up.
-    terms = paced(configuration.terms({**TERMS, "tickMs": tick, "operations": [
-        TERMS["operations"][0], {**TERMS["operations"][0], "name": "b", "clientTimeoutMs": shortest}]}))
+    terms = paced(
+        configuration.terms(
+            {
+                **TERMS,
+                "tickMs": tick,
+                "operations": [
+                    TERMS["operations"][0],
+                    {**TERMS["operations"][0], "name": "b", "clientTimeoutMs": shortest},
+                ],
+            }
+        )
+    )
     _, desk, _, _ = parts_of(terms)
     margin, step = desk[4:6]
     assert shortest * 10 - margin - 4 * step >= left * 10 - 50, (margin, step)
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -1,4 +1,5 @@
 """Ends of forwards that cross: call-backs, answers, DELETE, lives of an executor."""
+
 import asyncio
 
 from crossing import TERMS, Agent, Client, Executor, Place, until
@@ -14,7 +15,7 @@
             client = Client(place.address).hand_in()
             await until(lambda: executor.seen, "the forward")
             call = next(iter(place.endpoint().lines)).call
-            place.desk.probe_wait = 300      # a 202 is no longer waited for once the forward is over
+            place.desk.probe_wait = 300  # a 202 is no longer waited for once the forward is over
             assert call and not call.over
             await place.ended(client)
             await until(lambda: not place.endpoint().lines, "the line's end")
@@ -29,11 +30,16 @@
     async def story():
         executor, agent = await Executor().start(), await Agent().start()
         executor.answers = lambda line, head: b""
-        keyed = {**TERMS["operations"][0], "idempotency": "keyed", "group": "all", "windowMs": 60_000,
-                 "latencyObjectiveMs": 7000}
+        keyed = {
+            **TERMS["operations"][0],
+            "idempotency": "keyed",
+            "group": "all",
+            "windowMs": 60_000,
+            "latencyObjectiveMs": 7000,
+        }
         other = executor.row(name="s-2")
         async with Place(executor.row(), other, agent=agent, operations=[keyed]) as place:
-            place.desk.dispatcher.fleet.all["s-2"].shut = 2 ** 62      # what is held waits for it
+            place.desk.dispatcher.fleet.all["s-2"].shut = 2**62  # what is held waits for it
             client = Client(place.address).hand_in()
             await until(lambda: executor.seen and agent.asked, "the forward")
             agent.say(2, executor.row(status="Gone"))
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -3,6 +3,7 @@
 Each scene holds invocations in one place, lets their clients go in one instant, and counts the forwards that
 the node begins to write later and that reach an executor. Executors are threads: the loop stands still.
 """
+
 import asyncio
 import socket
 import threading
@@ -19,9 +20,13 @@
 LATE, PAST = 0.1, 0.16
 ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 RETURNED = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-WAIT = 20_000      # plenty, also for a machine that is busy
-OPERATION = {**TERMS["operations"][0], "idempotency": "safe", "latencyObjectiveMs": WAIT,
-             "clientTimeoutMs": WAIT}
+WAIT = 20_000  # plenty, also for a machine that is busy
+OPERATION = {
+    **TERMS["operations"][0],
+    "idempotency": "safe",
+    "latencyObjectiveMs": WAIT,
+    "clientTimeoutMs": WAIT,
+}
 LIMITS = {**TERMS["limits"], "maxForwards": 60}
 MANY = 100
 
@@ -86,15 +91,19 @@
         return data
 
 
-
 class Scene:
     """A place with its executors; `gone`: id and the moment at which its client had closed."""
 
     def __init__(self, executors=1, gated=False, limits=(), **more):
         self.recorder, self.gone = Recorder(), {}
         rows = self.recorder.rows(executors)
-        self.place = Place(*rows, gate=[self.recorder.address] if gated else (), operations=[OPERATION],
-                           limits={**LIMITS, **dict(limits)}, **more)
+        self.place = Place(
+            *rows,
+            gate=[self.recorder.address] if gated else (),
+            operations=[OPERATION],
+            limits={**LIMITS, **dict(limits)},
+            **more,
+        )
 
     async def __aenter__(self):
         await self.place.__aenter__()
@@ -155,7 +164,7 @@
         """The node goes on; whatever was held before it has had its chance as well."""
         client = Client(self.place.address).hand_in(id.decode(), WAIT)
         answer = asyncio.create_task(client.answer())
-        while not answer.done():      # a forward that is given up meanwhile is followed by another
+        while not answer.done():  # a forward that is given up meanwhile is followed by another
             await until(lambda: answer.done() or id in self.recorder.came, "another's forward")
             await self.ends(id)
             await asyncio.sleep(0.01)
@@ -171,8 +180,11 @@
 
     def breaks(self):
         """By when the node wrote it: an executor's thread may look later."""
-        return [(id, round(at - self.gone[id], 3)) for id, at in self.wrote
-                if id in self.gone and at > self.gone[id] + LATE and id in self.recorder.came]
+        return [
+            (id, round(at - self.gone[id], 3))
+            for id, at in self.wrote
+            if id in self.gone and at > self.gone[id] + LATE and id in self.recorder.came
+        ]
 
 
 async def connects(number):
@@ -207,7 +219,8 @@
     async with Scene(number, limits={"peerMessages": True}, balancers=2) as scene:
         asks, fleet = {}, scene.dispatcher.fleet
         scene.place.desk.peers.send = lambda to, body: asks.update(
-            {words.unpack(body)[1]: words.unpack(body)} if words.unpack(body)[0] == "ask" else {})
+            {words.unpack(body)[1]: words.unpack(body)} if words.unpack(body)[0] == "ask" else {}
+        )
         fleet.keeper = lambda group, now, silent=False: 1
         clients = scene.clients(number)
         scene.hand_in(clients)
@@ -223,18 +236,23 @@
 
 def further(answer, connect=5000):
     """Held after a first forward that ended in a way which allows another."""
+
     async def scene_of(number):
         async with Scene(max(number, 2), limits={"connectTimeoutMs": connect}) as scene:
             scene.recorder.answer = lambda id: answer
             clients, executors = scene.clients(number), scene.dispatcher.fleet.all.values()
             scene.hand_in(clients)
             owed = scene.owed
-            await until(lambda: len(owed) == number and all(one.flights for one in owed.values()),
-                        "the first forwards")
+            await until(
+                lambda: len(owed) == number and all(one.flights for one in owed.values()),
+                "the first forwards",
+            )
             for e in executors:
                 e.shut = 1 << 60
-            await until(lambda: len([i for i in scene.dispatcher.held if i.held and i.forwards]) == number,
-                        "that they are held again")
+            await until(
+                lambda: len([i for i in scene.dispatcher.held if i.held and i.forwards]) == number,
+                "that they are held again",
+            )
             scene.recorder.answer = lambda id: ACCEPTED
             scene.leave(clients)
             await scene.past()
@@ -242,6 +260,7 @@
                 e.shut = 0
                 e.full.clear()
             return await scene.finish()
+
     return scene_of
 
 
@@ -262,7 +281,7 @@
                 try:
                     await opened.wait()
                 except asyncio.CancelledError:
-                    made[0].abort()      # as asyncio does with a connect that is cancelled
+                    made[0].abort()  # as asyncio does with a connect that is cancelled
                     raise
             return made
 
@@ -306,9 +325,8 @@
             recorder.may_end.set()
             d.cutoffs.best = None
             return await scene.finish()
-    return scene_of
-
 
+    return scene_of
 
 
 async def waits_for_a_slot(number):
@@ -334,6 +352,7 @@
 
 def stall(kept, behind=b""):
     """They come and go while the loop stands still."""
+
     async def scene_of(number):
         async with Scene(number) as scene:
             await scene.another(b"z0")
@@ -344,8 +363,9 @@
             for client in clients.values():
                 client.socket.sendall(behind)
             scene.leave(clients)
-            time.sleep(0.3)      # the stall itself
+            time.sleep(0.3)  # the stall itself
             return await scene.finish()
+
     return scene_of
 
 
@@ -359,7 +379,7 @@
             up.append(1)
             if len(up) == number:
                 scene.leave(clients)
-                time.sleep(0.3)      # the stall itself
+                time.sleep(0.3)  # the stall itself
             return await real(*what, **more)
 
         loop.create_connection = connect
@@ -387,6 +407,7 @@
 
 def long_turns(*lengths):
     """A turn of such a length, and of the next as well; the clients leave when the last of them begins."""
+
     async def scene_of(number):
         async with Scene(number + 3) as scene:
             await scene.another(b"z0")
@@ -413,12 +434,13 @@
                 assert b" 200 " in await other.answer()
                 other.leave()
             return await scene.finish()
+
     return scene_of
 
 
 async def two_halves(number):
     """A pass of the loop of 70 ms, then a turn of 70 ms: neither is a stall, together they are too long."""
-    number = min(number, 2)      # who hands a hundred in makes a stall of that
+    number = min(number, 2)  # who hands a hundred in makes a stall of that
     async with Scene(number) as scene:
         await scene.another(b"z0")
         desk, clients, done = scene.place.desk, scene.clients(number), []
@@ -442,6 +464,7 @@
 
 def behind(size):
     """It has written on behind its invocation, as much as the kernel takes, and closed."""
+
     async def scene_of(number):
         number = min(number, 4)
         async with Scene(number, gated=True) as scene:
@@ -460,19 +483,32 @@
             await scene.past(-PAST + LATE)
             scene.place.gate.open.set()
             return await scene.finish()
+
     return scene_of
 
 
 PLACES = {
-    "connects": connects, "is held": is_held, "waits for a lender": waits_for_a_lender,
-    "never ran": further(RETURNED), "reset": further(None), "silent": further(b"", 300),
-    "further connects": further_connects, "being cut": cut("delete"), "cut, held": cut("held"),
-    "waits for a slot": waits_for_a_slot, "stall, kept": stall(True), "stall, new": stall(False),
+    "connects": connects,
+    "is held": is_held,
+    "waits for a lender": waits_for_a_lender,
+    "never ran": further(RETURNED),
+    "reset": further(None),
+    "silent": further(b"", 300),
+    "further connects": further_connects,
+    "being cut": cut("delete"),
+    "cut, held": cut("held"),
+    "waits for a slot": waits_for_a_slot,
+    "stall, kept": stall(True),
+    "stall, new": stall(False),
     "stall, more behind": stall(True, b"x" * 100_000),
     "stall, new, more behind": stall(False, b"x" * 100_000),
-    "stall while it connects": stall_while_it_connects, "backlog": backlog,
-    "long turn": long_turns(0.3), "two long turns": long_turns(0.3, 0.3), "two halves": two_halves,
-    "0.1 MB behind": behind(100_000), "3 MB behind": behind(3_000_000),
+    "stall while it connects": stall_while_it_connects,
+    "backlog": backlog,
+    "long turn": long_turns(0.3),
+    "two long turns": long_turns(0.3, 0.3),
+    "two halves": two_halves,
+    "0.1 MB behind": behind(100_000),
+    "3 MB behind": behind(3_000_000),
 }
 
 
@@ -483,6 +519,7 @@
 
 # Bytes that arrive in the very moment in which the node ends or closes a connection.
 
+
 def test_small_writes_are_held_back_on_no_kind_of_connection():
     async def story():
         executor = await Executor().start()
@@ -490,8 +527,12 @@
             await place.serves_another(executor)
             client = Client(place.address).hand_in("r3")
             await until(lambda: b"r3" in executor.seen, "the forward")
-            held = {type(one).__name__: one.transport.get_extra_info("socket").getsockopt(
-                socket.IPPROTO_TCP, socket.TCP_NODELAY) for one in (*place.door.clients, *place.pool.lines)}
+            held = {
+                type(one).__name__: one.transport.get_extra_info("socket").getsockopt(
+                    socket.IPPROTO_TCP, socket.TCP_NODELAY
+                )
+                for one in (*place.door.clients, *place.pool.lines)
+            }
             await place.ended(client, "r3")
         executor.server.close()
         return held
@@ -547,7 +588,7 @@
             await place.tell("done")
             assert b" 200 " in await client.answer()
             client.socket.setblocking(True)
-            client.hand_in("r2")      # with the kernel, and not read
+            client.hand_in("r2")  # with the kernel, and not read
             place.door.wind_up()
             await until(lambda: not place.door.clients, "the close")
             client.leave()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,8 +19,15 @@
 def pair(heard):
     """Both ends of a line; each end's messages go to heard(end, message, fds)."""
     ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    return [Channel(asyncio.get_running_loop(), sock, lambda _, *what, i=i: heard(i, *what),
-                    lambda _, i=i: heard(i, None, [])) for i, sock in enumerate(ends)]
+    return [
+        Channel(
+            asyncio.get_running_loop(),
+            sock,
+            lambda _, *what, i=i: heard(i, *what),
+            lambda _, i=i: heard(i, None, []),
+        )
+        for i, sock in enumerate(ends)
+    ]
 
 
 def test_a_line_carries_long_words_and_descriptors_in_order():
@@ -33,6 +40,7 @@
                 os.close(fd)
             if message is None:
                 done.set_result(None)
+
         here, there = pair(heard)
         with open(os.devnull) as file:
             words = [{"n": 1}, {"n": "x" * (5 * PIECE)}, *({"n": n} for n in range(500))]
@@ -44,10 +52,13 @@
         while len(got) < len(words):
             await asyncio.sleep(0.01)
         here.close()
-        here.send({"n": 3})      # nobody is there: nothing
+        here.send({"n": 3})  # nobody is there: nothing
         await asyncio.wait_for(done, 2)
-        assert got == [(1, word, [inode]) for word in words] + [(0, None, []),
-                                                                (1, None, [])] and there.sock is None
+        assert (
+            got == [(1, word, [inode]) for word in words] + [(0, None, []), (1, None, [])]
+            and there.sock is None
+        )
+
     asyncio.run(story())
 
 
@@ -56,17 +67,23 @@
         loop, taken, listening = asyncio.get_running_loop(), [], socket.socket()
 
         def process(**take):
-            return Handover(loop, str(tmp_path / ("long" * 30)), "n/1",
-                            lambda: ({"list": [1]}, listening.fileno()),
-                            {"books": lambda message: taken.append(message), **take}, taken.append)
+            return Handover(
+                loop,
+                str(tmp_path / ("long" * 30)),
+                "n/1",
+                lambda: ({"list": [1]}, listening.fileno()),
+                {"books": lambda message: taken.append(message), **take},
+                taken.append,
+            )
+
         os.mkdir(tmp_path / ("long" * 30))
         first, second, third = process(hand=lambda name: taken.append(name)), process(), process()
         assert await first.inherit() is None
         first.offer()
         listener = await second.inherit()
         assert listener is not None and taken == [True, True, {"list": [1]}]
-        assert await third.inherit() is None      # the first one has its heir
-        first.heir.send({"kind": "what"})      # of another build
+        assert await third.inherit() is None  # the first one has its heir
+        first.heir.send({"kind": "what"})  # of another build
         await asyncio.sleep(0.05)
         assert taken[3:] == [False] * 3 and not first.ready
         # An heir that ends before its time leaves the first one to be found by the next.
@@ -88,6 +105,7 @@
         first.offer()
         first.withdraw()
         assert await second.inherit() is None
+
     logger.remove()
     asyncio.run(story())
 
@@ -100,8 +118,13 @@
         rows = [{**ROW, "name": w.name, "address": w.address} for w in workers]
 
         def process(known):
-            said = told(listen="%s:%d" % address, folder=str(tmp_path), console="127.0.0.1:%d" % free_port(),
-                        known={"index": 1, "endpoints": known}, settings={**TERMS, "operations": EFFECTS})
+            said = told(
+                listen="%s:%d" % address,
+                folder=str(tmp_path),
+                console="127.0.0.1:%d" % free_port(),
+                known={"index": 1, "endpoints": known},
+                settings={**TERMS, "operations": EFFECTS},
+            )
             said = checked(NODE, said)
             said["settings"] = configuration.terms(said["settings"])
             work = assemble(loop, said, lambda: said)
@@ -119,10 +142,15 @@
             while not stop.done():
                 id = f"k-{name}-{n}"
                 operation = ("safe", "keyed", "unsafe")[n % 3]
-                answers[id] = await ask(address, (
-                    "POST /%s/k HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 8000\r\nIdempotency-Key: i\r\n"
-                    "Content-Length: 0\r\n\r\n" % (operation, id)).encode(), kept)
-                await kept[0].readexactly(1)      # the result
+                answers[id] = await ask(
+                    address,
+                    (
+                        "POST /%s/k HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 8000\r\nIdempotency-Key: i\r\n"
+                        "Content-Length: 0\r\n\r\n" % (operation, id)
+                    ).encode(),
+                    kept,
+                )
+                await kept[0].readexactly(1)  # the result
                 n += 1
             kept[1].close()
 
@@ -133,7 +161,7 @@
         await asyncio.sleep(0.3)
         post = b"POST /v1/executors/%s/suspend HTTP/1.1\r\n\r\n"
         assert b" 200 " in await ask(console, post % b"s-0")
-        new, _, second = process([])      # its file names no executor at all
+        new, _, second = process([])  # its file names no executor at all
         await serving(new)
         assert b" 200 " in await ask(second, b"GET /v1/readyz HTTP/1.1\r\n\r\n")
         assert {e.state for e in new.desk.dispatcher.fleet.all.values() if e.id == "s-0"} == {"banned"}
@@ -147,10 +175,13 @@
         before = len(answers)
         old.stop()
         await asyncio.wait_for(ended, 3)
-        assert len(answers) > before      # what it owed at its end has been answered
+        assert len(answers) > before  # what it owed at its end has been answered
         await asyncio.sleep(0.3)
-        assert b" 503 " in await ask(console,
-                                     b"GET /v1/readyz HTTP/1.1\r\n\r\n") if old.console.callers else True
+        assert (
+            b" 503 " in await ask(console, b"GET /v1/readyz HTTP/1.1\r\n\r\n")
+            if old.console.callers
+            else True
+        )
         stop.set_result(None)
         await asyncio.gather(*clients)
         # Who had said nothing yet is not forgotten either.
@@ -163,7 +194,7 @@
 
     answers, jobs, banned = asyncio.run(story())
     assert len(answers) > 20 and all(b" 200 " in head for head in answers.values()), answers
-    assert sorted(jobs) == sorted(answers)      # each ran, and none twice
+    assert sorted(jobs) == sorted(answers)  # each ran, and none twice
 
 
 def test_new_settings_reach_both_processes_and_one_that_is_starting(tmp_path):
@@ -186,11 +217,12 @@
 
         async def start():
             works.append(assemble(loop, read(), read))
-            write("a", "b")      # while it starts
+            write("a", "b")  # while it starts
             tasks.append(loop.create_task(works[-1].serve()))
             while works[-1].phase != node.Phase.SERVING:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.05)
+
         write("a")
         await start()
         assert taken() == [["a", "b"]]
@@ -202,7 +234,7 @@
             assert taken() == [[*names]] * 2
         works[0].stop()
         write("e")
-        works[0].reload()      # to the one that stops already
+        works[0].reload()  # to the one that stops already
         await asyncio.sleep(0.05)
         assert taken()[1] == ["e"]
         # A faulty file leaves both as they are.
@@ -211,6 +243,7 @@
         assert taken()[1] == ["e"]
         works[1].stop()
         await asyncio.gather(*tasks)
+
     asyncio.run(story())
 
 
@@ -221,10 +254,12 @@
     environ = {**os.environ, "BALANCER_CONFIG": str(file), "TMPDIR": str(tmp_path)}
     works = []
     try:
-        for i in range(3):      # each takes over from the one before
-            works.append(subprocess.Popen([sys.executable, "-m", "grebedyke"], stderr=subprocess.PIPE,
-                                          text=True,
-                                          env=environ))
+        for i in range(3):  # each takes over from the one before
+            works.append(
+                subprocess.Popen(
+                    [sys.executable, "-m", "grebedyke"], stderr=subprocess.PIPE, text=True, env=environ
+                )
+            )
             assert any("-> serving" in line for line in works[i].stderr)
             if i:
                 assert any("a new process serves beside this one" in line for line in works[i - 1].stderr)
@@ -237,5 +272,3 @@
             work.kill()
             work.wait()
             work.stderr.close()
-
-
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -1,4 +1,5 @@
 """A client that leaves while its invocation waits: it is not sent on any more, wherever it waits."""
+
 import asyncio
 import socket
 import time
@@ -147,7 +148,7 @@
             if kept:
                 await until(lambda: len(place.door.clients) == 1, "the connection")
             client.hand_in().leave(reset)
-            time.sleep(0.35)      # the stall itself
+            time.sleep(0.35)  # the stall itself
             await until(lambda: place.turn.gauges.counts["left"] or len(executor.seen) > 1, "its end")
             await place.serves_another(executor)
         executor.server.close()
@@ -172,7 +173,7 @@
                 if not long:
                     long.append(what)
                     client.leave()
-                    time.sleep(0.35)      # the turn's own length
+                    time.sleep(0.35)  # the turn's own length
 
             place.desk.deeds["forward"] = forward_long
             client.hand_in()
@@ -195,7 +196,7 @@
             await until(lambda: place.door.clients, "the connection")
             inside = next(iter(place.door.clients))
             inside.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            inside.transport.write(b"x" * 900_000)      # what it does not read
+            inside.transport.write(b"x" * 900_000)  # what it does not read
             client.hand_in()
             await waits_for_its_line(place, client)
             client.socket.shutdown(socket.SHUT_WR)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,5 @@
 """Limits of the whole fleet: drawn rounds in simulated time, broken builds, cases by hand, real processes."""
+
 import asyncio
 import json
 from types import SimpleNamespace
@@ -20,8 +21,12 @@
 from grebedyke.shares.part import Sharing
 from helpers import dispatcher, pull, rows
 
-SHAPES = [{}, {"faults": 4, "kinds": ("cut", "stop", "stalled")}, {"nodes": 7, "voters": 5, "faults": 2},
-          {"faults": 4, "kinds": ("kill", "all killed", "stop", "cut"), "drift": 0.2}]
+SHAPES = [
+    {},
+    {"faults": 4, "kinds": ("cut", "stop", "stalled")},
+    {"nodes": 7, "voters": 5, "faults": 2},
+    {"faults": 4, "kinds": ("kill", "all killed", "stop", "cut"), "drift": 0.2},
+]
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -50,8 +55,14 @@
 
 def part(process=7, limits=(Limit("l", RATE, 10_000, 10, 0, None, None, False),), drift=0.02, value=None):
     """One node's part, its holder named by `value`."""
-    agreement = SimpleNamespace(keys=[], followers=[], members=[0], value=lambda key: value,
-                                votes=lambda: False, voter=SimpleNamespace(epoch=1))
+    agreement = SimpleNamespace(
+        keys=[],
+        followers=[],
+        members=[0],
+        value=lambda key: value,
+        votes=lambda: False,
+        voter=SimpleNamespace(epoch=1),
+    )
     one = Sharing(agreement, 1, 4, process, limits, 10_000, drift, 5_000, 0)
     one.recalled(0, {})
     return one
@@ -143,9 +154,17 @@
     second = asked(one, 4_000)
     meter = one.gate.meters[id]
     one.heard(4_100, 0, ["S", second, 3, False, [[id, 2_000]]])
-    for odd in (["S", first, 3, False, [[id, 9_000]]], ["S", second, 3, False, [[id, 9_000]]],
-                ["S", second, 2, False, [[id, 9_000]]], ["S", second, 4, False, [[id, 9_000]]],
-                ["S"], ["S", "x", 3, False, 5], ["s", 1], ["t"], ["T", None, 1, 2, 3]):
+    for odd in (
+        ["S", first, 3, False, [[id, 9_000]]],
+        ["S", second, 3, False, [[id, 9_000]]],
+        ["S", second, 2, False, [[id, 9_000]]],
+        ["S", second, 4, False, [[id, 9_000]]],
+        ["S"],
+        ["S", "x", 3, False, 5],
+        ["s", 1],
+        ["t"],
+        ["T", None, 1, 2, 3],
+    ):
         one.heard(4_200, 0, odd)
     assert meter.held(4_300) == 2_000 and one.odd == 4
     # What a later build adds is left alone; an old share tells its age, long after its ask is forgotten.
@@ -190,25 +209,29 @@
 ROW = {"name": "a", "rate": 10, "burst": 3}
 
 
-@pytest.mark.parametrize("limits, words", [
-    ([{**ROW, "rate": -1}], "limits[0].rate is out of its range"),
-    ([{**ROW, "burst": 2}], "limits[0].burst is under one for each of 3 nodes"),
-    ([{**ROW, "burst": None}], "limits[0].burst is missing"),
-    ([{"name": "a"}], "limits[0].rate or underWay has to be there"),
-    ([{**ROW, "underWay": 3}], "limits[0].rate or underWay has to be there"),
-    ([{"name": "a", "underWay": 9, "burst": 3}], "limits[0].burst is nothing to a limit"),
-    ([{"name": "a", "underWay": 9, "floor": 0.5}], "limits[0].floor is no whole number"),
-    ([ROW, ROW], "limits[1].name stands twice"),
-    ([ROW, {**ROW, "name": "b"}], "limits[1].name is the same limit as 'a'"),
-    ([{**ROW, "further": True, "soft": True}], "limits[0].soft is nothing here"),
-    ([{"name": "a", "underWay": 3, "further": True}], "limits[0].underWay is nothing here"),
-    ([{**ROW, "floor": 4}], "limits[0].floor of 3 nodes is more than the limit"),
-    ([{**ROW, "tenant": "nobody"}], "limits[0].tenant does not exist"),
-    ([{**ROW, "operation": "nothing"}], "limits[0].operation does not exist"),
-])
+@pytest.mark.parametrize(
+    "limits, words",
+    [
+        ([{**ROW, "rate": -1}], "limits[0].rate is out of its range"),
+        ([{**ROW, "burst": 2}], "limits[0].burst is under one for each of 3 nodes"),
+        ([{**ROW, "burst": None}], "limits[0].burst is missing"),
+        ([{"name": "a"}], "limits[0].rate or underWay has to be there"),
+        ([{**ROW, "underWay": 3}], "limits[0].rate or underWay has to be there"),
+        ([{"name": "a", "underWay": 9, "burst": 3}], "limits[0].burst is nothing to a limit"),
+        ([{"name": "a", "underWay": 9, "floor": 0.5}], "limits[0].floor is no whole number"),
+        ([ROW, ROW], "limits[1].name stands twice"),
+        ([ROW, {**ROW, "name": "b"}], "limits[1].name is the same limit as 'a'"),
+        ([{**ROW, "further": True, "soft": True}], "limits[0].soft is nothing here"),
+        ([{"name": "a", "underWay": 3, "further": True}], "limits[0].underWay is nothing here"),
+        ([{**ROW, "floor": 4}], "limits[0].floor of 3 nodes is more than the limit"),
+        ([{**ROW, "tenant": "nobody"}], "limits[0].tenant does not exist"),
+        ([{**ROW, "operation": "nothing"}], "limits[0].operation does not exist"),
+    ],
+)
 def test_faulty_limits_are_refused_by_key(limits, words):
     from grebedyke.checks import checked
     from grebedyke.shares import section
+
     with pytest.raises(Unusable) as problem:
         said = checked(section.SECTION, {"limits": limits}, "shares.")
         section.check(said, FLEET, 3, ["hold"], ["t"], 200)
@@ -216,8 +239,10 @@
 
 
 def test_limits_bind_a_fleet_of_processes_whose_holder_dies():
-    limits = [{"name": "t", "rate": 30, "burst": 15, "tenant": "t", "floor": 1},
-              {"name": "pay", "underWay": 4, "operation": "confirm"}]
+    limits = [
+        {"name": "t", "rate": 30, "burst": 15, "tenant": "t", "floor": 1},
+        {"name": "pay", "underWay": 4, "operation": "confirm"},
+    ]
 
     async def story():
         rig = Rig(rounds.OPERATIONS, 3, 6, seed=77, shares=limits)
@@ -247,7 +272,8 @@
             await asyncio.sleep(3)
             # As operators see it; a node whose share is old says how old.
             said = await asyncio.to_thread(
-                CliRunner().invoke, cli, ["limits", "--node", "%s:%d" % rig.consoles["n0"]])
+                CliRunner().invoke, cli, ["limits", "--node", "%s:%d" % rig.consoles["n0"]]
+            )
             assert said.exit_code == 0 and "holder node" in said.output and "15 a second" in said.output
             shares = []
             for name in rig.nodes:
@@ -260,6 +286,7 @@
             return first, term, second, later, shares, clients.ledger.counts(), judge
         finally:
             await rig.close()
+
     first, term, second, later, shares, counts, judge = asyncio.run(asyncio.wait_for(story(), 90))
     assert second != first and later > term
     assert {row["limit"] for row in shares} == {15} and sum(r["share"] + r["floor"] for r in shares) <= 15
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,4 +1,5 @@
 """Connections to executors: what comes between a connect and its use, an answer and the next message."""
+
 import asyncio
 
 import pytest
@@ -16,11 +17,13 @@
         async with Place(old.row(), agent=agent, gate=[old.address]) as place:
             client = Client(place.address).hand_in()
             await until(lambda: place.gate.up == 1 and agent.asked, "connect and watch")
-            then = {"draining": [old.row(status="Terminating"), new.row()],
-                    "gone": [old.row(status="Gone"), new.row()],
-                    "moved": [{**new.row(), "name": "s-1"}],
-                    "restarted": [{**new.row(since_ms=5), "name": "s-1"}]}[says]
-            if says == "restarted":      # the same address, as another process
+            then = {
+                "draining": [old.row(status="Terminating"), new.row()],
+                "gone": [old.row(status="Gone"), new.row()],
+                "moved": [{**new.row(), "name": "s-1"}],
+                "restarted": [{**new.row(since_ms=5), "name": "s-1"}],
+            }[says]
+            if says == "restarted":  # the same address, as another process
                 then = [old.row(since_ms=5)]
             version = place.node.watch.index
             agent.say(2, *then)
@@ -45,8 +48,11 @@
             await until(lambda: place.gate.up == 1 and executor.lines, "the connect")
             executor.lines[0].close()
             await until(lambda: not place.endpoint().lines, "that it is lost")
-            place.desk.listed(place.turn.clock(), False, [
-                ("s-2", ("127.0.0.1", int(other.address.rpartition(":")[2])), "a", "m", 0, "healthy", 0, 1)])
+            place.desk.listed(
+                place.turn.clock(),
+                False,
+                [("s-2", ("127.0.0.1", int(other.address.rpartition(":")[2])), "a", "m", 0, "healthy", 0, 1)],
+            )
             place.gate.open.set()
             await until(lambda: other.seen or executor.seen, "the next forward")
             name = "s-2" if other.seen else "s-1"
@@ -95,7 +101,7 @@
                 most.append(len(pool.lines) + pool.opening)
             await until(lambda: len(ends) == 14, "what found no room")
             await until(lambda: place.gate.up == 6, "the connects")
-            most.append(len(pool.lines) + pool.opening - place.gate.up)      # held: a line, and still opening
+            most.append(len(pool.lines) + pool.opening - place.gate.up)  # held: a line, and still opening
             place.gate.open.set()
             await until(lambda: len(ends) == 20, "all ends")
             most.append(len(pool.lines))
@@ -163,7 +169,7 @@
     async def story():
         executor = await Executor().start()
         async with Place(executor.row()) as place:
-            place.pool.wary = 60_000 if twice else 2_000      # this machine may be slow
+            place.pool.wary = 60_000 if twice else 2_000  # this machine may be slow
             first = Client(place.address).hand_in("r0")
             await until(lambda: executor.seen, "the first forward")
             await place.ended(first, "r0")
@@ -178,7 +184,7 @@
             if twice:
                 executor.lines[0].write(ACCEPTED)
                 await until(lambda: flight.accepted or flight.done, "its own answer")
-                assert not flight.done      # what runs there is not taken for never run
+                assert not flight.done  # what runs there is not taken for never run
             else:
                 executor.answers = lambda line, head: ACCEPTED
                 await until(lambda: len(executor.seen) == 3, "the next forward")
@@ -186,4 +192,4 @@
         executor.server.close()
         return executor.seen
 
-    assert asyncio.run(story()) == [b"r0", b"r1", b"r1"][:2 if twice else 3]
+    assert asyncio.run(story()) == [b"r0", b"r1", b"r1"][: 2 if twice else 3]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,5 @@
 """The stand-ins, the ledger and the load tool, and nodes that are broken on purpose."""
+
 import asyncio
 import json
 import sys
@@ -64,8 +65,9 @@
     script = Script([fault(kind)] if kind else [])
     worker = await Executor("s-1", {"n": node.address}, Worker(born=-99), script).listen()
     body = b'{"work_ms": 20}'
-    status, _ = await talk.call(worker.address, "POST /op/k HTTP/1.1", body, 3 if kind == "late" else 0.4,
-                                X_Request_ID="n-1")
+    status, _ = await talk.call(
+        worker.address, "POST /op/k HTTP/1.1", body, 3 if kind == "late" else 0.4, X_Request_ID="n-1"
+    )
     await asyncio.sleep(0.15)
     heard = [news["state"] for news in getattr(node, "heard", ())]
     await worker.close()
@@ -75,22 +77,35 @@
 
 def test_each_fault_goes_wrong_in_its_way():
     for kind, status, heard, effects in (
-            ("", 202, ["started", "done"], 1), ("refuse", 0, [], 0), ("hang", 0, [], 0),
-            ("silent", 202, [], 1),
-            ("full", 503, [], 0), ("error", 500, [], 0), ("reset", 0, ["started", "done"], 1),
-            ("late", 202, ["started", "done"], 1), ("before", 202, ["done", "done"], 1),
-            ("twice", 202, ["started", "started", "done", "done"], 1),
-            ("after", 202, ["started", "done", "running"], 1), ("lost", 202, ["started", "lost"], 1),
-            ("odd", 0, ["started", "done"], 1), ("hang@9", 202, ["started", "done"], 1)):
+        ("", 202, ["started", "done"], 1),
+        ("refuse", 0, [], 0),
+        ("hang", 0, [], 0),
+        ("silent", 202, [], 1),
+        ("full", 503, [], 0),
+        ("error", 500, [], 0),
+        ("reset", 0, ["started", "done"], 1),
+        ("late", 202, ["started", "done"], 1),
+        ("before", 202, ["done", "done"], 1),
+        ("twice", 202, ["started", "started", "done", "done"], 1),
+        ("after", 202, ["started", "done", "running"], 1),
+        ("lost", 202, ["started", "lost"], 1),
+        ("odd", 0, ["started", "done"], 1),
+        ("hang@9", 202, ["started", "done"], 1),
+    ):
         got = asyncio.run(one_job(kind))
         assert (got[0], sorted(got[1]), got[2]) == (status, sorted(heard), effects), (kind, got)
         assert kind.partition("@")[0] in ("", *KINDS)
 
 
 def test_a_fault_that_is_misspelt_is_one_plain_line():
-    for text, word in (("hung", "no fault"), ("hang@x", "is meant"), ("hang@-1", "range"),
-                       ("reset%0", "range"),
-                       ("hang@2+0", "range"), ("reset%200", "range")):
+    for text, word in (
+        ("hung", "no fault"),
+        ("hang@x", "is meant"),
+        ("hang@-1", "range"),
+        ("reset%0", "range"),
+        ("hang@2+0", "range"),
+        ("reset%200", "range"),
+    ):
         with pytest.raises(ValueError, match=word):
             fault(text)
 
@@ -102,6 +117,7 @@
 
         async def ask(query):
             return json.loads((await talk.call(d.address, f"GET /discovery/hosts{query} HTTP/1.1"))[1])
+
         assert (await ask("")) | {"endpoints": 0} == {"index": 1, "snapshot": True, "endpoints": 0}
         watch = asyncio.ensure_future(ask("?after=1&wait_ms=900"))
         await asyncio.sleep(0.05)
@@ -109,32 +125,37 @@
         told = await watch
         assert not told["snapshot"] and [r["status"] for r in told["endpoints"]] == ["Terminating"]
         assert (await ask("?after=2&wait_ms=10"))["endpoints"] == []
-        assert (await ask("?after=7&wait_ms=10"))["snapshot"]      # a version of another life
+        assert (await ask("?after=7&wait_ms=10"))["snapshot"]  # a version of another life
         await d.change("s-1", status="Gone")
         assert (await ask(""))["endpoints"] == [] and {x[1:] for x in d.told} == {("s-1", "Terminating")}
         d.down = True
         assert (await talk.call(d.address, "GET /discovery/hosts HTTP/1.1", wait=0.1)) == (0, b"")
         await d.close()
+
     asyncio.run(story())
 
 
 def test_the_ledger_finds_each_broken_rule_and_no_other():
     def entry(op, answers, runs=(), forwards=((0.1, "s"),), sent=0.0):
         return op, answers, runs, forwards, sent
+
     for op, answers, runs, forwards, sent, rules in (
-            (*entry(VIEW, [(0.5, 200, b"")]), []), (*entry(VIEW, []), [1]),
-            (*entry(VIEW, [(1.2, 500, b"")]), [1]),
-            (*entry(VIEW, [(1.04, 500, b"")]), []), (*entry(VIEW, [(0.5, 200, b""), (0.6, 0, b"")]), [1]),
-            (*entry(VIEW, [(0.5, 200, b"")], forwards=()), [1]),
-            (*entry(VIEW, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), []),
-            (*entry(PAY, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), [2]),
-            (*entry(PAY, [(0.5, 503, b"")], [(0.1, "s")]), [2]),
-            (*entry(PAY, [(0.5, 500, b"")], [(0.1, "s")]), []),
-            (*entry(HOLD, [(0.5, 503, b"")], [(0.1, "s")]), []),
-            (*entry(HOLD, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), [2]),
-            (*entry(VIEW, [(0.5, 200, b"")], forwards=[(5.0, "drained")]), []),
-            (*entry(VIEW, [(0.5, 200, b"")], forwards=[(5.1, "drained")]), [3]),
-            (*entry(VIEW, [], sent=None), [])):
+        (*entry(VIEW, [(0.5, 200, b"")]), []),
+        (*entry(VIEW, []), [1]),
+        (*entry(VIEW, [(1.2, 500, b"")]), [1]),
+        (*entry(VIEW, [(1.04, 500, b"")]), []),
+        (*entry(VIEW, [(0.5, 200, b""), (0.6, 0, b"")]), [1]),
+        (*entry(VIEW, [(0.5, 200, b"")], forwards=()), [1]),
+        (*entry(VIEW, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), []),
+        (*entry(PAY, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), [2]),
+        (*entry(PAY, [(0.5, 503, b"")], [(0.1, "s")]), [2]),
+        (*entry(PAY, [(0.5, 500, b"")], [(0.1, "s")]), []),
+        (*entry(HOLD, [(0.5, 503, b"")], [(0.1, "s")]), []),
+        (*entry(HOLD, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), [2]),
+        (*entry(VIEW, [(0.5, 200, b"")], forwards=[(5.0, "drained")]), []),
+        (*entry(VIEW, [(0.5, 200, b"")], forwards=[(5.1, "drained")]), [3]),
+        (*entry(VIEW, [], sent=None), []),
+    ):
         ledger = Ledger(grace=2.0)
         e = ledger.enter("n-1-0", op, "k", 0.0)
         e.sent, e.answers, e.refused = sent, answers, sent is None
@@ -143,7 +164,7 @@
         for at, executor in forwards:
             ledger.reached(executor, [("n-1-0", at)])
         ledger.drained("drained", 1.0)
-        ledger.drained("drained", 3.0)      # the last node heard of it then
+        ledger.drained("drained", 3.0)  # the last node heard of it then
         assert [b.rule for b in ledger.judge()] == rules, (op, answers, runs, forwards)
 
 
@@ -153,8 +174,13 @@
     start = f"import sys; {patch}\nfrom grebedyke.__main__ import main\nsys.argv = ['n']\nsys.exit(main())"
 
     async def story():
-        fleet = Fleet((operation,), nodes=2, executors=4, command=(sys.executable, "-c", start),
-                      faults={name: [fault(x)] for name, x in (faults or {}).items()})
+        fleet = Fleet(
+            (operation,),
+            nodes=2,
+            executors=4,
+            command=(sys.executable, "-c", start),
+            faults={name: [fault(x)] for name, x in (faults or {}).items()},
+        )
         try:
             await fleet.start()
             clients = Clients(fleet.nodes, Ledger(grace), retries=0)
@@ -168,25 +194,43 @@
             return clients.ledger.counts(), clients.ledger.judge()
         finally:
             await fleet.close()
+
     return asyncio.run(story())
 
 
 def test_a_sound_node_breaks_no_rule_and_three_broken_ones_are_caught():
     cases = (
-            (PAY, {"s-1": "reset%30"}, "", False, None, ""), (VIEW, {}, "", True, None, ""),
-            (VIEW, {"s-1": "silent"}, "", False, None, ""),
-            (PAY, {f"s-{i}": "reset%30" for i in range(4)},
-             "from grebedyke import brain; brain.Dispatcher.allowed = lambda *x: True", False, 2,
-             "took effect 2"),
-            (VIEW, {f"s-{i}": "silent" for i in range(4)},
-             "from grebedyke.service.desk import Desk; take = Desk.take\n"
-             "Desk.take = lambda s, c, i, o, t, wait, *x: take(s, c, i, o, t, wait + 3_000, *x)", False, 1,
-             "answered 1.2"),
-            (VIEW, {}, "from grebedyke.service.desk import Desk; told = Desk.listed\n"
-             "Desk.listed = lambda s, n, w, rows: told(s, n, w, [r for r in rows if r[5] == 'healthy'])",
-             True, 3,
-             "reached s-0"))
-    with ThreadPoolExecutor(3) as beside:      # each is a fleet of its own, and mostly waits
+        (PAY, {"s-1": "reset%30"}, "", False, None, ""),
+        (VIEW, {}, "", True, None, ""),
+        (VIEW, {"s-1": "silent"}, "", False, None, ""),
+        (
+            PAY,
+            {f"s-{i}": "reset%30" for i in range(4)},
+            "from grebedyke import brain; brain.Dispatcher.allowed = lambda *x: True",
+            False,
+            2,
+            "took effect 2",
+        ),
+        (
+            VIEW,
+            {f"s-{i}": "silent" for i in range(4)},
+            "from grebedyke.service.desk import Desk; take = Desk.take\n"
+            "Desk.take = lambda s, c, i, o, t, wait, *x: take(s, c, i, o, t, wait + 3_000, *x)",
+            False,
+            1,
+            "answered 1.2",
+        ),
+        (
+            VIEW,
+            {},
+            "from grebedyke.service.desk import Desk; told = Desk.listed\n"
+            "Desk.listed = lambda s, n, w, rows: told(s, n, w, [r for r in rows if r[5] == 'healthy'])",
+            True,
+            3,
+            "reached s-0",
+        ),
+    )
+    with ThreadPoolExecutor(3) as beside:  # each is a fleet of its own, and mostly waits
         played = list(beside.map(lambda case: play(*case[:4], grace=0.3), cases))
     for (*_, rule, word), (counts, broken) in zip(cases, played, strict=True):
         assert counts["taken"] > 20, counts
@@ -197,9 +241,10 @@
 def test_arrivals_are_the_same_for_a_seed_and_bounded():
     def plan(seed):
         return shape.arrivals(seed, "burst", 40, 10, "pareto", 0.1, (PAY, VIEW), ("t", "u"), 0.1)
+
     assert plan(4) == plan(4) != plan(5) and {a.operation for a in plan(4)} == {PAY, VIEW}
     bursts = sum(a.at % 5 < 1 for a in plan(4))
-    assert bursts > len(plan(4)) / 3      # a fifth of the time, three times the rate
+    assert bursts > len(plan(4)) / 3  # a fifth of the time, three times the rate
     for rate, seconds in ((1e6, 3600), (0, 5), (1, 0), (1, 1e6)):
         with pytest.raises(ValueError, match="out of bounds"):
             shape.arrivals(1, "poisson", rate, seconds, "constant", 0.1, (PAY,))
@@ -207,33 +252,38 @@
 
 def test_commands_say_in_one_line_what_is_wrong(tmp_path):
     for words, code, line in (
-            (("load", "--node", "a=10.0.0.1:9"), 2, "10.0.0.1 is not a loopback address"),
-            (("load", "--node", "a=127.0.0.1"), 2, "127.0.0.1 is not host:port"),
-            (("load", "--node", "a=127.0.0.1:9", "--operation", "pay:sure"), 2,
-             "NAME:EFFECT[:SHARE] is meant"),
-            (("load", "--node", "a=127.0.0.1:9", "--trace", str(tmp_path / "no")), 2, "No such file"),
-            (("load", "--node", "a=127.0.0.1:9", "--rate", "10000", "--seconds", "3600"), 2, "out of bounds"),
-            (("stand-in", "executor", "--name", "s", "--node", "a=1.2.3.4:5"), 2, "not a loopback address"),
-            (("stand-in", "executor", "--name", "s", "--node", "a=127.0.0.1:5", "--fault", "hung"), 2,
-             "no fault"),
-            (("stand-in", "discovery", "--executor", "s=8.8.8.8:53"), 2, "not a loopback address"),
-            (("fleet-log", str(tmp_path / "no")), 2, "No such file"),
-            (("fleet-log", str(tmp_path)), 2, "no line"),
-            (("fleet-log", "--span", "0", str(tmp_path)), 2, "--span is out of its range")):
+        (("load", "--node", "a=10.0.0.1:9"), 2, "10.0.0.1 is not a loopback address"),
+        (("load", "--node", "a=127.0.0.1"), 2, "127.0.0.1 is not host:port"),
+        (("load", "--node", "a=127.0.0.1:9", "--operation", "pay:sure"), 2, "NAME:EFFECT[:SHARE] is meant"),
+        (("load", "--node", "a=127.0.0.1:9", "--trace", str(tmp_path / "no")), 2, "No such file"),
+        (("load", "--node", "a=127.0.0.1:9", "--rate", "10000", "--seconds", "3600"), 2, "out of bounds"),
+        (("stand-in", "executor", "--name", "s", "--node", "a=1.2.3.4:5"), 2, "not a loopback address"),
+        (
+            ("stand-in", "executor", "--name", "s", "--node", "a=127.0.0.1:5", "--fault", "hung"),
+            2,
+            "no fault",
+        ),
+        (("stand-in", "discovery", "--executor", "s=8.8.8.8:53"), 2, "not a loopback address"),
+        (("fleet-log", str(tmp_path / "no")), 2, "No such file"),
+        (("fleet-log", str(tmp_path)), 2, "no line"),
+        (("fleet-log", "--span", "0", str(tmp_path)), 2, "--span is out of its range"),
+    ):
         result = CliRunner().invoke(cli, words)
         told = result.output.strip()
         assert result.exit_code == code and line in told and told.count("\n") == 0, (words, told)
     # Nobody listens there: all are refused, and that is no broken rule of a node's.
-    result = CliRunner().invoke(cli, ("load", "--node", "a=127.0.0.1:9", "--seconds", "0.5", "--json",
-                                      str(tmp_path / "told.json")))
+    result = CliRunner().invoke(
+        cli, ("load", "--node", "a=127.0.0.1:9", "--seconds", "0.5", "--json", str(tmp_path / "told.json"))
+    )
     told = json.loads((tmp_path / "told.json").read_text())
     assert result.exit_code == 0 and told["counts"]["refused"] > 0 == told["counts"]["taken"]
     assert "rules: not judged" in result.output and not told["judged"]
 
 
 def test_the_demo_serves_through_a_death_and_a_hang(tmp_path):
-    result = CliRunner().invoke(cli,
-                                ("demo", "--seconds", "4", "--rate", "30", "--json", str(tmp_path / "d")))
+    result = CliRunner().invoke(
+        cli, ("demo", "--seconds", "4", "--rate", "30", "--json", str(tmp_path / "d"))
+    )
     told = json.loads((tmp_path / "d").read_text())
     assert result.exit_code == 0 and "rules: all kept" in result.output and "is killed" in result.output
     assert told["counts"]["succeeded"] > 60 and told["broken"] == []
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -23,7 +23,7 @@
     sink = log.Sink(into, lambda n: f"{n} dropped\n")
     line = "x" * 999 + "\n"
     for _ in range(1_000):
-        sink.write(line)      # a pipe holds 65,536 bytes
+        sink.write(line)  # a pipe holds 65,536 bytes
     assert 900 < sink.dropped < 1_000
     missed, before = sink.dropped, read_all(out)
     assert len(before) == 1_000 * (1_000 - missed) and before.endswith(b"\n")
@@ -38,7 +38,7 @@
     assert read_all(out).endswith(b"1 dropped\nlast\n")
     os.close(out)
     for _ in range(3):
-        sink.write(line)      # nobody there any more: no exception either
+        sink.write(line)  # nobody there any more: no exception either
     os.close(into)
     sink.write(line)
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -11,8 +11,9 @@
     node.desk.dispatcher.listed(NOW, True, rows("s-1", "s-2"))
     node.phase = [True]
     node.console = Console(node.turn, lambda: node.phase[0], node.desk.by_hand, most)
-    node.call = lambda text, step=None: (say(join(Caller(node.console)), text, step),
-                                         node.loop.go())[0].transport
+    node.call = lambda text, step=None: (say(join(Caller(node.console)), text, step), node.loop.go())[
+        0
+    ].transport
     return node
 
 
@@ -23,20 +24,26 @@
 def test_each_call_has_its_answer_and_the_connection_ends():
     node = desk_of()
     for call, ready, status in (
-            (b"GET /v1/readyz HTTP/1.1\r\n\r\n", True, 200), (b"GET /v1/readyz HTTP/1.1\r\n\r\n", False, 503),
-            (b"GET /v1/readyz?x HTTP/1.0\r\n\r\n", True, 200),
-            (b"POST /v1/readyz HTTP/1.1\r\n\r\n", True, 405),
-            (b"GET /v1/executors/s-1/suspend HTTP/1.1\r\n\r\n", True, 405),
-            (b"GET / HTTP/1.1\r\n\r\n", True, 404),
-            (post(b"s-9/suspend"), True, 404), (post(b"s-9/resume"), True, 404),
-            (post(b"/suspend"), True, 404),
-            (post(b"s-1/stop"), True, 404), (post(b"%FF%0A/suspend"), True, 404),
-            (b"what\r\n\r\n", True, 400),
-            (b"POST /v1/executors/s-1/suspend HTTP/1.1\r\nContent-Length: 9999\r\n\r\n", True, 413),
-            # Back without having been out, out twice and back once, and a name that is worded in percents.
-            (post(b"s-1/resume"), True, 200), (post(b"s-1/suspend"), True, 200),
-            (post(b"s-1/suspend"), True, 200),
-            (post(b"s-1/resume"), False, 200), (post(b"s%2D2/suspend"), True, 200)):
+        (b"GET /v1/readyz HTTP/1.1\r\n\r\n", True, 200),
+        (b"GET /v1/readyz HTTP/1.1\r\n\r\n", False, 503),
+        (b"GET /v1/readyz?x HTTP/1.0\r\n\r\n", True, 200),
+        (b"POST /v1/readyz HTTP/1.1\r\n\r\n", True, 405),
+        (b"GET /v1/executors/s-1/suspend HTTP/1.1\r\n\r\n", True, 405),
+        (b"GET / HTTP/1.1\r\n\r\n", True, 404),
+        (post(b"s-9/suspend"), True, 404),
+        (post(b"s-9/resume"), True, 404),
+        (post(b"/suspend"), True, 404),
+        (post(b"s-1/stop"), True, 404),
+        (post(b"%FF%0A/suspend"), True, 404),
+        (b"what\r\n\r\n", True, 400),
+        (b"POST /v1/executors/s-1/suspend HTTP/1.1\r\nContent-Length: 9999\r\n\r\n", True, 413),
+        # Back without having been out, out twice and back once, and a name that is worded in percents.
+        (post(b"s-1/resume"), True, 200),
+        (post(b"s-1/suspend"), True, 200),
+        (post(b"s-1/suspend"), True, 200),
+        (post(b"s-1/resume"), False, 200),
+        (post(b"s%2D2/suspend"), True, 200),
+    ):
         node.phase[0] = ready
         for step in range(1, len(call)) if status in (200, 404) and b"suspend" not in call else (None, 7):
             transport = node.call(call, step)
@@ -78,8 +85,9 @@
         return {executor for _, _, executor, _ in sent}
 
     assert not d.by_hand(15, "s-3", True) and d.by_hand(20, "s-1", True)
-    for i, told in enumerate((rows("s-1"), rows("s-1", state="draining"), rows("s-1", state="gone"),
-                              rows("s-1", born=900))):
+    for i, told in enumerate(
+        (rows("s-1"), rows("s-1", state="draining"), rows("s-1", state="gone"), rows("s-1", born=900))
+    ):
         d.listed(1_000 + i, False, told)
         assert all(goes_to(1_000 * i + n) == {"s-2"} for n in range(1_100, 1_120))
     d.listed(5_000, True, rows("s-1", "s-2"))
@@ -88,8 +96,10 @@
     e = d.fleet.all["s-1"]
     assert not d.fleet.ready(e, 5_030)
     # One call back undoes both.
-    assert d.by_hand(6_000, "s-1", False) and {x for n in range(99)
-                                               for x in goes_to(90_000 + 50 * n)} == {"s-1", "s-2"}
+    assert d.by_hand(6_000, "s-1", False) and {x for n in range(99) for x in goes_to(90_000 + 50 * n)} == {
+        "s-1",
+        "s-2",
+    }
     # Of one that the list does not have for the moment the call is kept.
     d.listed(99_000, False, rows("s-1", state="gone"))
     assert d.by_hand(99_010, "s-1", True)
@@ -111,7 +121,7 @@
         assert e.born == born and d.fleet.warmth(e, born) == 0.3 and e.credit == 2.0 and not e.shut
         d.listed(7_000, True, rows("s-1", "s-2", born=told or 0))
         assert e.born == born
-        d.listed(8_000, True, rows("s-1", "s-2", born=5_500))      # at last the list knows
+        d.listed(8_000, True, rows("s-1", "s-2", born=5_500))  # at last the list knows
         assert e.born == 5_500
 
 
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -1,4 +1,5 @@
 """Discovery fails, each way it can: how long after its return the node has been told, by settings."""
+
 import asyncio
 import resource
 import struct
@@ -20,14 +21,29 @@
 DRAINING = {**ROW, "name": "s-1", "address": "127.0.0.1:9", "status": "Terminating"}
 # What an agent does that is down; `waits`: it says what it has, and falls silent while the next call waits.
 # "twice": so does the call after that; "slow": its answers take longer than a short drain grace leaves.
-WAYS = ("refused", "no connect", "silent", "head", "body", "reset", "odd", "older", "waits", "moved", "twice",
-        "slow")
+WAYS = (
+    "refused",
+    "no connect",
+    "silent",
+    "head",
+    "body",
+    "reset",
+    "odd",
+    "older",
+    "waits",
+    "moved",
+    "twice",
+    "slow",
+)
 # Times in ms; askEveryMs is another host's: by it nothing here may change.
 SETTINGS = {
-    "pushed": {}, "pushed, drain grace 50": {"drain": 50}, "pushed, drain grace 30 s": {"drain": 30_000},
+    "pushed": {},
+    "pushed, drain grace 50": {"drain": 50},
+    "pushed, drain grace 30 s": {"drain": 30_000},
     "asked, 1 node": {"registryMode": "ask", "askEveryMs": 1},
     "asked, 200 nodes": {"registryMode": "ask", "balancers": 200, "askEveryMs": 3_600_000},
-    "asked, 200 nodes, drain grace 50": {"registryMode": "ask", "balancers": 200, "drain": 50}}
+    "asked, 200 nodes, drain grace 50": {"registryMode": "ask", "balancers": 200, "drain": 50},
+}
 
 
 def settings(registryMode="push", balancers=1, drain=2_000, askEveryMs=1_000):
@@ -103,8 +119,12 @@
     if way != "refused":
         await agent.listen()
     first = await Agent().start() if way == "moved" else agent
-    place = Place({**DRAINING, "status": "Ready"}, agent=first, **settings(**more),
-                  listen="%s:%d" % (agent.place[0], free_port()))
+    place = Place(
+        {**DRAINING, "status": "Ready"},
+        agent=first,
+        **settings(**more),
+        listen="%s:%d" % (agent.place[0], free_port()),
+    )
     await place.__aenter__()
     place.desk.also_listed = agent.heard
     if way == "moved":
@@ -121,9 +141,18 @@
 def test_after_any_failure_a_change_is_told_in_time(monkeypatch):
     # A collection at each start would halt all the other nodes of this process.
     monkeypatch.setattr(node, "gc", SimpleNamespace(collect=lambda: None, freeze=lambda: None))
-    cases = [(way, fails, name) for way in WAYS for fails in (1, 3) for name in SETTINGS
-             if fails == 3 and way != "slow" or fails == 1 and name in ("pushed", "asked, 200 nodes") or
-             fails == 1 and way == "slow"]
+    cases = [
+        (way, fails, name)
+        for way in WAYS
+        for fails in (1, 3)
+        for name in SETTINGS
+        if fails == 3
+        and way != "slow"
+        or fails == 1
+        and name in ("pushed", "asked, 200 nodes")
+        or fails == 1
+        and way == "slow"
+    ]
 
     async def story():
         loop, agents = asyncio.get_running_loop(), {}
@@ -135,8 +164,12 @@
             return await connect(make, host, port, **more)
 
         loop.create_connection = connecting
-        return await asyncio.gather(*(took(agents, number, way, fails, SETTINGS[name])
-                                      for number, (way, fails, name) in enumerate(cases)))
+        return await asyncio.gather(
+            *(
+                took(agents, number, way, fails, SETTINGS[name])
+                for number, (way, fails, name) in enumerate(cases)
+            )
+        )
 
     times = dict(zip(cases, asyncio.run(story()), strict=True))
     for name in SETTINGS:
@@ -146,10 +179,26 @@
     assert not breaks
 
 
-@pytest.mark.parametrize("odd", (
-    {"zone": []}, {"zone": {}}, {"type": ["m"]}, {"type": {}}, {"group": [1]}, {"zone": 5}, {"type": None},
-    {"address": "127.0.0.9:²"}, {"address": "127.0.0.9:٣"}, {"since_ms": 1e308}, {"since_ms": 10 ** 18},
-    {"weight": 1e308}, {"weight": 10 ** 18}, {"weight": []}, {"status": []}))
+@pytest.mark.parametrize(
+    "odd",
+    (
+        {"zone": []},
+        {"zone": {}},
+        {"type": ["m"]},
+        {"type": {}},
+        {"group": [1]},
+        {"zone": 5},
+        {"type": None},
+        {"address": "127.0.0.9:²"},
+        {"address": "127.0.0.9:٣"},
+        {"since_ms": 1e308},
+        {"since_ms": 10**18},
+        {"weight": 1e308},
+        {"weight": 10**18},
+        {"weight": []},
+        {"status": []},
+    ),
+)
 def test_an_odd_line_costs_no_other_its_change(odd):
     # The version counts as had, so what fails in the module would never be told again.
     d = dispatcher()
@@ -266,8 +315,10 @@
             done = [await handed(door, f"b{i}", stays) for i in range(20)]
             wrong = sum(len(e.seen) for e in drained) - wrong
             faults = sum("accept" in line or "loop-fault" in line for line in lines)
-            print(f"{most} descriptors: told after {took:.2f} s, {sum(done)} of 20 sent on and done, {wrong} "
-                  f"to who drains, {faults} lines of want")
+            print(
+                f"{most} descriptors: told after {took:.2f} s, {sum(done)} of 20 sent on and done, {wrong} "
+                f"to who drains, {faults} lines of want"
+            )
             return took < TOLD, all(done), sum(len(e.seen) for e in rest) - before >= 20, wrong, faults
         finally:
             for task in crowd:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -2,6 +2,7 @@
 
 The measured version, thirty nodes beside load, is `python -m benchmarks.restarts`.
 """
+
 import asyncio
 import sys
 
@@ -18,6 +19,7 @@
 def restarts(cases, *args, **more):
     async def play():
         return [ready async for ready in scene(cases, *args, rate=0, **more)]
+
     return asyncio.run(play())
 
 
@@ -33,8 +35,15 @@
     assert ready.within() == 0 and ready.times == [float("inf")]
 
 
-@pytest.mark.parametrize("times, bound, within, tenth", [
-    ([1] * 9 + [99], 10, 9, 1), ([1] * 8 + [11, 99], 10, 8, 11), ([1], 10, 1, 1), ([10.1] * 30, 10, 0, 10.1)])
+@pytest.mark.parametrize(
+    "times, bound, within, tenth",
+    [
+        ([1] * 9 + [99], 10, 9, 1),
+        ([1] * 8 + [11, 99], 10, 8, 11),
+        ([1], 10, 1, 1),
+        ([10.1] * 30, 10, 0, 10.1),
+    ],
+)
 def test_nine_in_ten_are_counted(times, bound, within, tenth):
     ready = Ready(times, [], 0, 0, 0, 0.0)
     assert ready.within(bound) == within and ready.tenth() == tenth
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,5 @@
 """Several real processes, faults between them, and a judge that looks from outside; loopback only."""
+
 import asyncio
 import json
 import os
@@ -19,32 +20,48 @@
 
 # Each fault comes in some round: one that did not happen proves nothing.
 # Seed 1 goes on under limits: without kills, which leave it little more than its floors.
-ROUNDS = ((1, ("cut", "stall", "bad links")), (2, ("kill", "older folder", "copy")),
-          (3, ("stop", "bad list", "lying disk")), (4, ("empty folder", "bad disk", "spoilt folder")))
+ROUNDS = (
+    (1, ("cut", "stall", "bad links")),
+    (2, ("kill", "older folder", "copy")),
+    (3, ("stop", "bad list", "lying disk")),
+    (4, ("empty folder", "bad disk", "spoilt folder")),
+)
 HAPPENED = "folder same", "cut", "held", "lost", "doubled", "spoilt", "stopped", "copied", "disk honest"
 
 
 def test_a_plan_goes_through_a_fleet_under_faults_and_no_invariant_breaks():
     async def story():
-        return await asyncio.gather(*(
-            rounds.play(seed, kinds=kinds, seconds=6.0, pace=1.5) for seed, kinds in ROUNDS))
+        return await asyncio.gather(
+            *(rounds.play(seed, kinds=kinds, seconds=6.0, pace=1.5) for seed, kinds in ROUNDS)
+        )
+
     played = asyncio.run(story())
     assert [one.broken for one in played] == [[]] * len(ROUNDS)
     done = rounds.total(played)
     assert all(one.done["worked at"] >= 6 and one.done["succeeded"] > 10 for one in played), [
-        (one.seed, one.done["worked at"], one.done["succeeded"]) for one in played]
+        (one.seed, one.done["worked at"], one.done["succeeded"]) for one in played
+    ]
     assert all(done.get(kind) for kind in HAPPENED), done
 
 
 def test_the_judge_finds_what_logs_contradict():
     def event(rev, machine, state):
         return {"event": "machine", "rev": rev, "machine": machine, "state": state}
-    honest = [("n0", event(1, "a", "waiting")), ("n0", event(2, "a", "leaving")),
-              ("n1", event(2, "a", "leaving")), ("n0", event(3, "a", "free")),
-              ("n0", event(4, "a", "back")), ("n0", event(5, "a", "done"))]
-    for more, clause in ((None, None), (("n2", event(2, "a", "free")), "one value"),
-                         (("n0", event(6, "a", "free")), "order of states"),
-                         (("n0", event(3, "b", "leaving")), "most out")):
+
+    honest = [
+        ("n0", event(1, "a", "waiting")),
+        ("n0", event(2, "a", "leaving")),
+        ("n1", event(2, "a", "leaving")),
+        ("n0", event(3, "a", "free")),
+        ("n0", event(4, "a", "back")),
+        ("n0", event(5, "a", "done")),
+    ]
+    for more, clause in (
+        (None, None),
+        (("n2", event(2, "a", "free")), "one value"),
+        (("n0", event(6, "a", "free")), "order of states"),
+        (("n0", event(3, "b", "leaving")), "most out"),
+    ):
         judge = Judge()
         judge.logs([*honest, *([more] if more else [])], 1)
         assert [broken[0] for broken in judge.broken][:1] == ([clause] if clause else []), clause
@@ -52,9 +69,14 @@
 
 def test_each_way_in_which_a_disk_lies(tmp_path):
     for kind, raises, kept in (
-            ("", False, b"second"), ("full", True, b"first"), ("read-only", True, b"first"),
-            ("eio", True, b"second"), ("short", True, b"first"), ("torn", False, b"sec"),
-            ("lies", False, b"first")):
+        ("", False, b"second"),
+        ("full", True, b"first"),
+        ("read-only", True, b"first"),
+        ("eio", True, b"second"),
+        ("short", True, b"first"),
+        ("torn", False, b"sec"),
+        ("lies", False, b"first"),
+    ):
         files = LyingFiles(str(tmp_path / (kind or "honest")), lambda: [])
         assert files.lock()
         files.replace("votes", b"first")
@@ -67,7 +89,7 @@
             assert not raises, kind
         assert files.read("votes") == kept, kind
         files.told = lambda: []
-        files.replace("view", b"x")      # honest again: what it had promised is kept at last
+        files.replace("view", b"x")  # honest again: what it had promised is kept at last
         assert files.read("votes") == (b"second" if kind == "lies" else kept), kind
         files.close()
 
@@ -81,6 +103,7 @@
         said = rig.told_honestly(name)
         change(said)
         return said
+
     rig.told = told
     try:
         await rig.start()
@@ -91,13 +114,17 @@
     return ""
 
 
-@pytest.mark.parametrize("change, words", [
-    (lambda said: said["fleet"].update(voters=[0, 1]), "fleet.voters is not 1, 3, 5 or 7 nodes"),
-    (lambda said: said["fleet"].update(voters=[0, 1, 3]), "fleet.voters[2] is none of the 3 peers"),
-    (lambda said: said["fleet"].pop("folder"), "fleet.folder is missing"),
-    (lambda said: said.pop("fleet"), "setting fleet is missing"),
-    (lambda said: said["maintenance"].update(leaseMs=200), "maintenance.leaseMs is under four times"),
-    (lambda said: said["fleet"].update(folder="/proc/nowhere"), "fleet.folder cannot be used")])
+@pytest.mark.parametrize(
+    "change, words",
+    [
+        (lambda said: said["fleet"].update(voters=[0, 1]), "fleet.voters is not 1, 3, 5 or 7 nodes"),
+        (lambda said: said["fleet"].update(voters=[0, 1, 3]), "fleet.voters[2] is none of the 3 peers"),
+        (lambda said: said["fleet"].pop("folder"), "fleet.folder is missing"),
+        (lambda said: said.pop("fleet"), "setting fleet is missing"),
+        (lambda said: said["maintenance"].update(leaseMs=200), "maintenance.leaseMs is under four times"),
+        (lambda said: said["fleet"].update(folder="/proc/nowhere"), "fleet.folder cannot be used"),
+    ],
+)
 def test_a_faulty_section_ends_a_node_with_its_key(tmp_path, change, words):
     assert words in asyncio.run(one_node(tmp_path, change))
 
@@ -123,6 +150,7 @@
             return rig.processes["n2"].returncode
         finally:
             await rig.close()
+
     assert asyncio.run(story()) == 2
 
 
@@ -140,14 +168,24 @@
 
             async def do(*words):
                 return await loop.run_in_executor(None, run, *words, *nodes)
+
             file = rig.path("n0", "plan.json")
-            for plan, word in (({"machines": ["s-9"], "most": 1, "workMs": 9000}, "s-9"),
-                               ({"machines": ["s-1"], "workMs": 9000}, "most is missing"),
-                               ({"machines": ["s-1", "s-2"], "most": 1, "workMs": 9000,
-                                 "after": {"s-1": ["s-2"], "s-2": ["s-1"]}}, "circle"),
-                               ({"machines": ["s-1"], "most": 1, "workMs": 9000, "leastShare": 1}, "met")):
+            for plan, word in (
+                ({"machines": ["s-9"], "most": 1, "workMs": 9000}, "s-9"),
+                ({"machines": ["s-1"], "workMs": 9000}, "most is missing"),
+                (
+                    {
+                        "machines": ["s-1", "s-2"],
+                        "most": 1,
+                        "workMs": 9000,
+                        "after": {"s-1": ["s-2"], "s-2": ["s-1"]},
+                    },
+                    "circle",
+                ),
+                ({"machines": ["s-1"], "most": 1, "workMs": 9000, "leastShare": 1}, "met"),
+            ):
                 file.write_text(json.dumps(plan))
-                for _ in range(50):      # a node that has just begun knows no machine yet
+                for _ in range(50):  # a node that has just begun knows no machine yet
                     code, text = await do("maintenance", "plan", file)
                     if word in text:
                         break
@@ -156,7 +194,7 @@
             file.write_text(json.dumps({"id": "w", "machines": ["s-1", "s-2"], "most": 1, "workMs": 9000}))
             assert await do("maintenance", "plan", file) == (0, "plan w: announced")
             code, text = await do("maintenance", "plan", file)
-            assert code == 0 and text.startswith("plan w: ")      # the same call
+            assert code == 0 and text.startswith("plan w: ")  # the same call
             code, text = await do("maintenance", "pause")
             while "not all nodes know it" in text:
                 code, text = await do("maintenance", "pause")
@@ -177,6 +215,7 @@
             assert code == 1 and "no majority" in text
         finally:
             await rig.close()
+
     asyncio.run(asyncio.wait_for(story(), 90))
     assert run("maintenance", "status", "--node", "10.0.0.1:9")[0] == 2
 
@@ -208,20 +247,33 @@
             before, asked = len(executor.forwards), 0
             while len(executor.forwards) == before and asked < 200:
                 asked += 1
-                await talk.call(rig.nodes["n1"], "POST /view/k HTTP/1.1", b'{"work_ms": 5}',
-                                X_Request_ID=f"n1-{asked}", X_Timeout_Ms=4000)
+                await talk.call(
+                    rig.nodes["n1"],
+                    "POST /view/k HTTP/1.1",
+                    b'{"work_ms": 5}',
+                    X_Request_ID=f"n1-{asked}",
+                    X_Timeout_Ms=4000,
+                )
             # What came along from the old process ends by the plan's word; the operator's stays.
             return asked, [id for id, _ in other.forwards]
         finally:
             await rig.close()
+
     asked, reached = asyncio.run(asyncio.wait_for(story(), 60))
     assert 0 < asked < 200 and not reached
 
 
 def test_what_is_off_is_not_even_imported():
-    code = ("import sys, grebedyke.service.start; "
-            "print([m for m in sys.modules if 'agreement' in m or 'maintenance' in m or m == 'msgpack'])")
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True,
-                          env={**os.environ, "PYTHONPATH": "."})
+    code = (
+        "import sys, grebedyke.service.start; "
+        "print([m for m in sys.modules if 'agreement' in m or 'maintenance' in m or m == 'msgpack'])"
+    )
+    told = subprocess.run(
+        [sys.executable, "-c", code],
+        capture_output=True,
+        text=True,
+        check=True,
+        env={**os.environ, "PYTHONPATH": "."},
+    )
     assert told.stdout.strip() == "[]"
     assert plain.settings(rounds.OPERATIONS, 3, 0, "a")["limits"].get("peerMessages") is None
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,5 @@
 """Scale runs, small ones: hollow nodes beside real ones, judged by counts and not by times; loopback only."""
+
 import asyncio
 import os
 import resource
@@ -44,8 +45,13 @@
     runs |= {name: {**HOLLOW, "scene": scene, "build": name} for name, (scene, _) in CAUGHT.items()}
 
     async def beside():
-        return await asyncio.gather(*(scale.Run(**{**SMALL, "seed": seed, **shape}).play()
-                                      for seed, shape in enumerate(runs.values(), 1)))
+        return await asyncio.gather(
+            *(
+                scale.Run(**{**SMALL, "seed": seed, **shape}).play()
+                for seed, shape in enumerate(runs.values(), 1)
+            )
+        )
+
     return dict(zip(runs, asyncio.run(beside()), strict=True))
 
 
@@ -63,14 +69,18 @@
     assert told["hollow_beside_real"]
     for key in figures.COUNTED:
         # In some window of each role: on a machine that stands still a window may have nothing in it.
-        seen = {row["role"] for window in told["windows"].values() for row in window["roles"]
-                if key in row and row[key]["most"] > 0}
+        seen = {
+            row["role"]
+            for window in told["windows"].values()
+            for row in window["roles"]
+            if key in row and row[key]["most"] > 0
+        }
         assert seen >= {"holder", "voter"}, key
     sent = told["sent"]
     # Each asks the voters for its lease and the holder for its shares, and is answered.
     assert 0 < sent["M"] <= sent["m"] and 0 < sent["S"] <= sent["s"]
     if scene == "cut":
-        assert sent["M"] < sent["m"]      # what is asked across the cut has no answer
+        assert sent["M"] < sent["m"]  # what is asked across the cut has no answer
     if scene == "zone":
         rows = told["windows"]["while it is lost"]["roles"]
         assert 0 < sum(row["nodes"] for row in rows if row["role"] != "down") < told["shape"]["nodes"]
@@ -80,7 +90,8 @@
     """Each keeps all promises and costs too much; the honest build is caught in none of these scenes."""
     assert [*CAUGHT] == [*broken.SCALE] and played["calm"]["broken"] == played["cut"]["broken"] == []
     assert {name: {row[1] for row in played[name]["broken"]} for name in CAUGHT} == {
-        name: {clause} for name, (_, clause) in CAUGHT.items()}
+        name: {clause} for name, (_, clause) in CAUGHT.items()
+    }
 
 
 def test_the_same_fleet_in_simulated_time_says_as_much():
@@ -89,7 +100,10 @@
     told = simulated.beside(run, 20.0)
     rows = {row["role"]: row for row in told["roles"]}
     assert told["boards_a_second"] == 0 and {role: row["nodes"] for role, row in rows.items()} == {
-        "holder": 1, "voter": 2, "other": 3}
+        "holder": 1,
+        "voter": 2,
+        "other": 3,
+    }
     # Who is short asks for its shares up to eight times a lease.
     assert 7.4 <= rows["other"]["messages_out"]["least"] and rows["other"]["messages_out"]["most"] <= 10.1
     assert rows["other"]["messages_in"]["median"] == rows["other"]["messages_out"]["median"]
@@ -104,12 +118,16 @@
     return Looking(run, {"a": ("rate", 10.0, 5), "b": (OPEN, 3, 0)})
 
 
-@pytest.mark.parametrize("events, clause", [
-    # Ten a second, a burst of five and a span's worth: six at once, then one a span.
-    ({(0, 1, "a"): 6, (1, 1, "a"): 1, (2, 1, "a"): 1}, None),
-    ({(0, 1, "a"): 6, (1, 1, "a"): 2}, "over the rate"),
-    ({(0, 1, "b"): 3, (4, -1, "b"): 1, (4, 1, "b"): 1}, None),
-    ({(0, 1, "b"): 3, (3, 1, "b"): 1, (4, -1, "b"): 1}, "too many under way")])
+@pytest.mark.parametrize(
+    "events, clause",
+    [
+        # Ten a second, a burst of five and a span's worth: six at once, then one a span.
+        ({(0, 1, "a"): 6, (1, 1, "a"): 1, (2, 1, "a"): 1}, None),
+        ({(0, 1, "a"): 6, (1, 1, "a"): 2}, "over the rate"),
+        ({(0, 1, "b"): 3, (4, -1, "b"): 1, (4, 1, "b"): 1}, None),
+        ({(0, 1, "b"): 3, (3, 1, "b"): 1, (4, -1, "b"): 1}, "too many under way"),
+    ],
+)
 def test_what_went_through_is_held_against_the_limits(events, clause):
     judge = looking()
     judge.events.update(events)
@@ -130,9 +148,19 @@
 
 
 def test_limits_that_are_exceeded_are_told_apart_from_what_is_broken():
-    node = {"node": 1, "real": False, "role": "holder", "messages_out": 1.0, "messages_in": 1.0,
-            "bytes_out": 1_600.0, "bytes_in": 1_500.0, "cpu_parts": 1.0, "cpu_process": 1.0, "calls": 1.0,
-            "memory": 1e6}
+    node = {
+        "node": 1,
+        "real": False,
+        "role": "holder",
+        "messages_out": 1.0,
+        "messages_in": 1.0,
+        "bytes_out": 1_600.0,
+        "bytes_in": 1_500.0,
+        "cpu_parts": 1.0,
+        "cpu_process": 1.0,
+        "calls": 1.0,
+        "memory": 1e6,
+    }
     over = figures.over_limits({"calm": {"seconds": 5.0, "nodes": [node]}})
     assert [(row["role"], row["what"], row["figure"]) for row in over] == [("holder", "bytes", 3_100.0)]
     told = {"over": over, "broken": [(1.0, "one value", "x")], "void": None}
@@ -144,8 +172,13 @@
 
 def one_line(*words, **given):
     """Exit code and the one line of a run that is not begun."""
-    done = subprocess.run([sys.executable, "-m", "grebedyke", "scale", *map(str, words)], capture_output=True,
-                          text=True, timeout=60, **given)
+    done = subprocess.run(
+        [sys.executable, "-m", "grebedyke", "scale", *map(str, words)],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        **given,
+    )
     assert done.stdout == "" and done.stderr.count("\n") == 1, done.stderr
     return done.returncode, done.stderr
 
@@ -163,13 +196,15 @@
     code, line = one_line("--nodes", 200, preexec_fn=few_descriptors)
     assert code == 2 and "descriptors are needed and 96 allowed" in line
     monkeypatch.setattr(scale, "memory", lambda: (1 << 30, 1 << 29))
-    for words, said in ((("--nodes", 760), "MB are needed and 512 MB are there"),
-                        (("--nodes", 2_000, "--each", 1), "processes are more than 300"),
-                        (("--nodes", 600, "--port", 65_000), "ports end at 65535"),
-                        (("--host", "10.0.0.1"), "not a loopback address"),
-                        (("--build", "x"), "--build is one of these"),
-                        (("--lease", 0.5, "--wait", 0.2), "--lease is under four times --wait"),
-                        (("--scene", "noon"), "Invalid value")):
+    for words, said in (
+        (("--nodes", 760), "MB are needed and 512 MB are there"),
+        (("--nodes", 2_000, "--each", 1), "processes are more than 300"),
+        (("--nodes", 600, "--port", 65_000), "ports end at 65535"),
+        (("--host", "10.0.0.1"), "not a loopback address"),
+        (("--build", "x"), "--build is one of these"),
+        (("--lease", 0.5, "--wait", 0.2), "--lease is under four times --wait"),
+        (("--scene", "noon"), "Invalid value"),
+    ):
         told = CliRunner().invoke(cli, ["scale", *map(str, words)])
         assert told.exit_code == 2 and said in told.stderr, (words, told.output)
 
@@ -178,8 +213,12 @@
 def test_a_killed_run_leaves_no_process_port_or_folder(number):
     host = f"127.88.{os.getpid() % 250}.{int(number)}"
     words = "--nodes", "5", "--real", "2", "--for", "300", "--host", host, "--lead", "any"
-    run = subprocess.Popen([sys.executable, "-m", "grebedyke", "scale", *words], stderr=subprocess.PIPE,
-                           stdout=subprocess.DEVNULL, text=True)
+    run = subprocess.Popen(
+        [sys.executable, "-m", "grebedyke", "scale", *words],
+        stderr=subprocess.PIPE,
+        stdout=subprocess.DEVNULL,
+        text=True,
+    )
     try:
         for line in run.stderr:
             if "all 5 nodes agree" in line:
@@ -206,6 +245,11 @@
 
 def test_a_plain_node_imports_nothing_of_it():
     code = "import sys, grebedyke.service.start; print([m for m in sys.modules if '.rig' in m])"
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True,
-                          env={**os.environ, "PYTHONPATH": "."})
+    told = subprocess.run(
+        [sys.executable, "-c", code],
+        capture_output=True,
+        text=True,
+        check=True,
+        env={**os.environ, "PYTHONPATH": "."},
+    )
     assert told.stdout.strip() == "[]"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -20,16 +20,34 @@
 from grebedyke.wire.discovery import Agent, Watch
 from grebedyke.wire.peers import Peers
 
-TERMS = {"balancers": 1, "me": 0, "tickMs": 5, "zone": "a", "operations": [
-    {"name": "op", "idempotency": "unsafe", "latencyObjectiveMs": 200, "clientTimeoutMs": 4000}],
+TERMS = {
+    "balancers": 1,
+    "me": 0,
+    "tickMs": 5,
+    "zone": "a",
+    "operations": [
+        {"name": "op", "idempotency": "unsafe", "latencyObjectiveMs": 200, "clientTimeoutMs": 4000}
+    ],
     "limits": {"maxForwards": 5, "connIdleMs": 5000, "connectTimeoutMs": 250},
-    "rules": {"coldFrom": 0.3, "rampTimeMs": 8000, "tipAfterMs": 1000, "fallMultiple": 3,
-              "drainGraceMs": 500}}
+    "rules": {
+        "coldFrom": 0.3,
+        "rampTimeMs": 8000,
+        "tipAfterMs": 1000,
+        "fallMultiple": 3,
+        "drainGraceMs": 500,
+    },
+}
 ROW = {"name": "s-1", "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 0, "status": "Ready"}
 
 
-KEYED = {"name": "op", "idempotency": "keyed", "latencyObjectiveMs": 200, "clientTimeoutMs": 4000,
-         "windowMs": 9, "group": "zone"}
+KEYED = {
+    "name": "op",
+    "idempotency": "keyed",
+    "latencyObjectiveMs": 200,
+    "clientTimeoutMs": 4000,
+    "windowMs": 9,
+    "group": "zone",
+}
 
 
 def free_port():
@@ -39,8 +57,13 @@
 
 
 def told(**more):
-    return {"name": "n1", "listen": "127.0.0.1:%d" % free_port(), "discovery": "127.0.0.1:%d" % free_port(),
-            "settings": TERMS, **more}
+    return {
+        "name": "n1",
+        "listen": "127.0.0.1:%d" % free_port(),
+        "discovery": "127.0.0.1:%d" % free_port(),
+        "settings": TERMS,
+        **more,
+    }
 
 
 def changed(path, value):
@@ -56,33 +79,37 @@
 
 def test_faults_in_the_configuration_name_their_key(tmp_path):
     for path, value, words in (
-            (("listen",), "9000", "listen is not host:port"),
-            (("discovery",), "h:0", "discovery is not host:port"),
-            (("name",), None, "name is missing"),
-            (("limits",), {"sockets": 3}, "limits.sockets is out of its range"),
-            (("known", "endpoints", 0, "address"), "x", "known.endpoints[0].address is not host:port"),
-            (("settings", "rules", "coldFrom"), None, "settings.rules.coldFrom is missing"),
-            (("settings", "me"), 1, "settings.me is out of its range"),
-            (("settings", "tickMs"), True, "settings.tickMs"),
-            (("settings", "operations"), [], "settings.operations is missing"),
-            (("settings", "operations", 0, "idempotency"), "keyed",
-             "settings.operations[0].windowMs is missing"),
-            (("settings", "operations", 0, "group"), "row", "settings.operations[0].group is unknown"),
-            (("settings", "operations", 0), {**KEYED, "group": None},
-             "settings.operations[0].group is missing"),
-            (("settings", "operations", 0, "clientTimeoutMs"), None,
-             "settings.operations[0].clientTimeoutMs is missing"),
-            (("settings", "operations", 0, "clientTimeoutMs"), 0,
-             "settings.operations[0].clientTimeoutMs is out of its range"),
-            (("settings", "limits"), None, "settings.limits is missing"),
-            (("settings", "limits", "maxForwards"), None, "settings.limits.maxForwards is missing"),
-            (("settings", "limits", "maxForwards"), 0, "settings.limits.maxForwards is out of its range"),
-            (("settings", "limits"), {**TERMS["limits"], "peerMessages": "yes"},
-             "settings.limits.peerMessages"),
-            (("peers",), ["x"], "peers[0] is not host:port"),
-            (("peers",), ["h:1", "h:2"], "peers has 2 of 1 nodes"),
-            (("settings", "registryMode"), "pull", "settings.registryMode is unknown"),
-            (("settings", "familyInfo"), {"tellsStart": 1}, "settings.familyInfo.tellsStart")):
+        (("listen",), "9000", "listen is not host:port"),
+        (("discovery",), "h:0", "discovery is not host:port"),
+        (("name",), None, "name is missing"),
+        (("limits",), {"sockets": 3}, "limits.sockets is out of its range"),
+        (("known", "endpoints", 0, "address"), "x", "known.endpoints[0].address is not host:port"),
+        (("settings", "rules", "coldFrom"), None, "settings.rules.coldFrom is missing"),
+        (("settings", "me"), 1, "settings.me is out of its range"),
+        (("settings", "tickMs"), True, "settings.tickMs"),
+        (("settings", "operations"), [], "settings.operations is missing"),
+        (("settings", "operations", 0, "idempotency"), "keyed", "settings.operations[0].windowMs is missing"),
+        (("settings", "operations", 0, "group"), "row", "settings.operations[0].group is unknown"),
+        (("settings", "operations", 0), {**KEYED, "group": None}, "settings.operations[0].group is missing"),
+        (
+            ("settings", "operations", 0, "clientTimeoutMs"),
+            None,
+            "settings.operations[0].clientTimeoutMs is missing",
+        ),
+        (
+            ("settings", "operations", 0, "clientTimeoutMs"),
+            0,
+            "settings.operations[0].clientTimeoutMs is out of its range",
+        ),
+        (("settings", "limits"), None, "settings.limits is missing"),
+        (("settings", "limits", "maxForwards"), None, "settings.limits.maxForwards is missing"),
+        (("settings", "limits", "maxForwards"), 0, "settings.limits.maxForwards is out of its range"),
+        (("settings", "limits"), {**TERMS["limits"], "peerMessages": "yes"}, "settings.limits.peerMessages"),
+        (("peers",), ["x"], "peers[0] is not host:port"),
+        (("peers",), ["h:1", "h:2"], "peers has 2 of 1 nodes"),
+        (("settings", "registryMode"), "pull", "settings.registryMode is unknown"),
+        (("settings", "familyInfo"), {"tellsStart": 1}, "settings.familyInfo.tellsStart"),
+    ):
         file = tmp_path / "config.json"
         file.write_bytes(orjson.dumps(changed(path, value)))
         with pytest.raises(configuration.Unusable, match=words.replace("[", r"\[").replace("]", r"\]")):
@@ -91,8 +118,10 @@
         file.write_text(text)
         with pytest.raises(configuration.Unusable, match=words):
             configuration.read_node({"BALANCER_CONFIG": str(file)})
-    for environ, words in (({}, "is missing"),
-                           ({"BALANCER_CONFIG": str(tmp_path / "none")}, "cannot be read")):
+    for environ, words in (
+        ({}, "is missing"),
+        ({"BALANCER_CONFIG": str(tmp_path / "none")}, "cannot be read"),
+    ):
         with pytest.raises(configuration.Unusable, match=words):
             configuration.read_node(environ)
 
@@ -108,8 +137,12 @@
     for said, code in ((changed(("settings", "tickMs"), 0), 2), (told(), 0)):
         file = tmp_path / "config.json"
         file.write_bytes(orjson.dumps(said))
-        work = subprocess.Popen([sys.executable, "-m", "grebedyke"], stderr=subprocess.PIPE, text=True,
-                                env={**os.environ, "BALANCER_CONFIG": str(file)})
+        work = subprocess.Popen(
+            [sys.executable, "-m", "grebedyke"],
+            stderr=subprocess.PIPE,
+            text=True,
+            env={**os.environ, "BALANCER_CONFIG": str(file)},
+        )
         word = "settings.tickMs" if code else "n1 phase starting -> serving"
         try:
             assert any(word in line for line in work.stderr)
@@ -157,8 +190,7 @@
 
     async def story(calls_back):
         executor = await Executor().start()
-        said = checked(NODE, told(known={
-            "index": 1, "endpoints": [{**ROW, "address": executor.address}]}))
+        said = checked(NODE, told(known={"index": 1, "endpoints": [{**ROW, "address": executor.address}]}))
         said["settings"] = configuration.terms(said["settings"])
         work = assemble(asyncio.get_running_loop(), said, None)
         serving, address = asyncio.create_task(work.serve()), said["listen"]
@@ -200,7 +232,7 @@
         nodes = [Peers(loop, turn, lambda now, *args: heard.append(args)) for _ in range(3)]
         addresses = [("127.0.0.1", free_port()) for _ in nodes]
         for i, peers in enumerate(nodes):
-            peers.move(addresses[:2] if i < 2 else addresses, i)      # the first two do not know the third
+            peers.move(addresses[:2] if i < 2 else addresses, i)  # the first two do not know the third
             await peers.task
         for by, to, body in ((1, 0, b"x" * 257), (2, 0, b"stranger"), (1, 0, b"word"), (1, 7, b"none")):
             nodes[by].send(to, body)
@@ -209,6 +241,7 @@
         await asyncio.sleep(0.05)
         nodes[0].close(), nodes[2].close()
         return heard
+
     assert asyncio.run(story()) == [(1, b"word")]
 
 
@@ -220,7 +253,7 @@
         holder.bind(("127.0.0.1", port))
         peers = Peers(loop, still(Loop()), None)
         if moves:
-            peers.move([("127.0.0.1", free_port())], 0)      # is still being opened when it moves on
+            peers.move([("127.0.0.1", free_port())], 0)  # is still being opened when it moves on
         peers.move([("127.0.0.1", port)], 0)
         await asyncio.sleep(0.05)
         assert not peers.transport and peers.failing
@@ -232,12 +265,16 @@
         heard = peers.transport and peers.transport.get_extra_info("sockname")[1]
         peers.close()
         return heard == port
+
     assert all(asyncio.run(story(moves)) for moves in (False, True))
 
 
 def test_phases_have_one_way():
-    for phase, to in ((node.Phase.SERVING, node.Phase.STARTING), (node.Phase.STOPPED, node.Phase.SERVING),
-                      (node.Phase.STARTING, node.Phase.STOPPING)):
+    for phase, to in (
+        (node.Phase.SERVING, node.Phase.STARTING),
+        (node.Phase.STOPPED, node.Phase.SERVING),
+        (node.Phase.STARTING, node.Phase.STOPPING),
+    ):
         assert to not in node.ALLOWED[phase]
 
 
@@ -289,13 +326,16 @@
 
 def test_a_watch_follows_at_once_and_tells_changes_from_whole_lists():
     row = ("s-1", ("127.0.0.1", 9), "a", "m", 0, "healthy", 0, 1)
-    _, heard, asked = lists({"index": 42, "snapshot": False, "endpoints": []},
-                            {"index": 43, "snapshot": True, "endpoints": [ROW]},
-                            {"index": 44, "snapshot": False, "endpoints": [{**ROW, "status": "Terminating"}]})
+    _, heard, asked = lists(
+        {"index": 42, "snapshot": False, "endpoints": []},
+        {"index": 43, "snapshot": True, "endpoints": [ROW]},
+        {"index": 44, "snapshot": False, "endpoints": [{**ROW, "status": "Terminating"}]},
+    )
     assert heard == [("listed", True, [row]), ("listed", False, [(*row[:5], "draining", *row[6:])])]
     # The first call asks for what the agent has; those after it wait for what comes.
     assert [line.split()[1] for line in asked.split(b"\r\n") if line.startswith(b"GET")] == [
-        b"/discovery/hosts?after=%d&wait_ms=%d" % (n, 5000 if n > 41 else 0) for n in (41, 42, 43, 44)]
+        b"/discovery/hosts?after=%d&wait_ms=%d" % (n, 5000 if n > 41 else 0) for n in (41, 42, 43, 44)
+    ]
 
 
 def test_a_discovery_that_does_not_wait_is_not_asked_without_a_pause():
@@ -316,24 +356,34 @@
 
 
 def test_a_line_of_the_list_without_an_address_costs_no_other():
-    _, heard, _ = lists({"index": 42, "snapshot": True,
-                         "endpoints": [{**ROW, "name": "s-0", "address": "?"}, ROW]})
+    _, heard, _ = lists(
+        {"index": 42, "snapshot": True, "endpoints": [{**ROW, "name": "s-0", "address": "?"}, ROW]}
+    )
     assert [(row[0], row[5]) for row in heard[0][2]] == [("s-0", "gone"), ("s-1", "healthy")]
 
 
 def test_a_list_of_odd_and_repeated_lines_or_an_older_version_is_survived():
-    odd = [None, 5, {}, {"name": 7}, {"name": ""}, {**ROW, "name": "s-9", "status": 3},
-           {**ROW, "name": "s-8", "address": "h:99999"},
-           {**ROW, "name": "s-7", "since_ms": "x", "weight": None}]
+    odd = [
+        None,
+        5,
+        {},
+        {"name": 7},
+        {"name": ""},
+        {**ROW, "name": "s-9", "status": 3},
+        {**ROW, "name": "s-8", "address": "h:99999"},
+        {**ROW, "name": "s-7", "since_ms": "x", "weight": None},
+    ]
     lines = []
     sink = logger.add(lambda text: lines.append(str(text)))
     try:
-        watch, heard, asked = lists({"index": 42, "snapshot": True, "endpoints": odd * 2_000 + [ROW, ROW]},
-                                    {"index": 7, "snapshot": False, "endpoints": [{**ROW, "status": "Gone"}]})
+        watch, heard, asked = lists(
+            {"index": 42, "snapshot": True, "endpoints": odd * 2_000 + [ROW, ROW]},
+            {"index": 7, "snapshot": False, "endpoints": [{**ROW, "status": "Gone"}]},
+        )
     finally:
         logger.remove(sink)
     assert {row[0] for row in heard[0][2] if row[5] == "healthy"} == {"s-1", "s-7"} and len(heard) == 1
-    assert len(lines) == 2      # guards against a line each: the log is no part of the list
+    assert len(lines) == 2  # guards against a line each: the log is no part of the list
     # What is older is not applied; the next ask is for the whole list, which is taken whatever its version.
     assert watch.index is None and not watch.asking
     next(call for _, _, call, _ in watch.turn.limits if call == watch.ask)(0)
@@ -346,7 +396,7 @@
     for answer in (b"{", b"[]", b'{"endpoints":[]}', b'{"index":1,"endpoints":[{}]}', None):
         watch, heard, _ = lists(*(() if answer is None else (answer,)))
         if answer is None:
-            watch.silent(0, watch.serial - 1)      # of an earlier watch
+            watch.silent(0, watch.serial - 1)  # of an earlier watch
             assert watch.asking
             watch.silent(0, watch.serial)
         else:
@@ -354,7 +404,7 @@
         watch.loop.go()
         assert not watch.asking and watch.agent is None
         again = [x for x in watch.turn.limits if x[2] == watch.ask]
-        assert len(again) == 1      # a push site's node goes on asking by itself
+        assert len(again) == 1  # a push site's node goes on asking by itself
 
 
 def test_a_moved_watch_asks_anew_and_is_deaf_to_the_old_discovery():
@@ -362,11 +412,12 @@
     watch, heard, _ = lists()
     old = watch.agent
     watch.move("127.0.0.1", 1)
-    assert watch.agent is old      # the same address: nothing to do
+    assert watch.agent is old  # the same address: nothing to do
     watch.move("127.0.0.2", 2)
     watch.silent(0, 1)
-    say(old, b"HTTP/1.1 200 OK\r\nContent-Length: 41\r\n\r\n"
-        + b'{"index":99,"snapshot":true,"endpoints":[]}')
+    say(
+        old, b"HTTP/1.1 200 OK\r\nContent-Length: 41\r\n\r\n" + b'{"index":99,"snapshot":true,"endpoints":[]}'
+    )
     old.connection_lost(None)
     watch.loop.go()
     assert old.transport.closing and watch.asking and not heard and watch.index is None
@@ -394,7 +445,7 @@
         monkeypatch.setattr(loop, "create_connection", connect)
         watch.ask()
         await asyncio.sleep(0)
-        late, watch.task = watch.task, None      # as if it were past being cancelled
+        late, watch.task = watch.task, None  # as if it were past being cancelled
         watch.move("127.0.0.2", 2)
         await asyncio.gather(late, watch.task)
         return opened, watch, turn
@@ -410,12 +461,19 @@
     said, moved = told(), "127.0.0.1:%d" % free_port()
     file = tmp_path / "config.json"
     file.write_bytes(orjson.dumps(said))
-    work = subprocess.Popen([sys.executable, "-m", "grebedyke"], stderr=subprocess.PIPE, text=True, env={
-        **os.environ, "BALANCER_CONFIG": str(file), "BALANCER_DISCOVERY": said["discovery"]})
+    work = subprocess.Popen(
+        [sys.executable, "-m", "grebedyke"],
+        stderr=subprocess.PIPE,
+        text=True,
+        env={**os.environ, "BALANCER_CONFIG": str(file), "BALANCER_DISCOVERY": said["discovery"]},
+    )
     try:
-        for text, words in ((None, "-> serving"), (b"{", "reload refused"),
-                            (orjson.dumps({**said, "discovery": "?"}), "setting discovery is not host:port"),
-                            (orjson.dumps({**said, "discovery": moved}), f"discovery at {moved} (moved)")):
+        for text, words in (
+            (None, "-> serving"),
+            (b"{", "reload refused"),
+            (orjson.dumps({**said, "discovery": "?"}), "setting discovery is not host:port"),
+            (orjson.dumps({**said, "discovery": moved}), f"discovery at {moved} (moved)"),
+        ):
             if text:
                 file.write_bytes(text)
                 work.send_signal(signal.SIGHUP)
@@ -431,8 +489,9 @@
 def test_a_restart_is_told_on_the_modules_clock():
     place = floor()
     place.desk.shift = -5_000
-    place.desk.listed(0, True,
-                      [("s-1", ("127.0.0.1", 9), "a", "m", 0, "healthy", since, 1) for since in (0, 700)])
+    place.desk.listed(
+        0, True, [("s-1", ("127.0.0.1", 9), "a", "m", 0, "healthy", since, 1) for since in (0, 700)]
+    )
     assert [row[5] for row in place.told.heard[0][2]] == [0, 2_000]
 
 
@@ -462,15 +521,26 @@
                 await asyncio.sleep(0.1 if state == "started" else 0)
 
 
-EFFECTS = [{"name": name, "idempotency": name, "group": "all", "windowMs": 9000, "latencyObjectiveMs": 3000,
-            "clientTimeoutMs": 8000} for name in ("safe", "keyed", "unsafe")]
+EFFECTS = [
+    {
+        "name": name,
+        "idempotency": name,
+        "group": "all",
+        "windowMs": 9000,
+        "latencyObjectiveMs": 3000,
+        "clientTimeoutMs": 8000,
+    }
+    for name in ("safe", "keyed", "unsafe")
+]
 
 
 async def one_answer(address, operation, id):
     """The whole of what comes on a connection that the node ends after its answer."""
     reader, writer = await asyncio.open_connection(*address)
-    writer.write(b"POST /%s/k HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 8000\r\nIdempotency-Key: i\r\n"
-                 b"Connection: close\r\nContent-Length: 0\r\n\r\n" % (operation.encode(), id.encode()))
+    writer.write(
+        b"POST /%s/k HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 8000\r\nIdempotency-Key: i\r\n"
+        b"Connection: close\r\nContent-Length: 0\r\n\r\n" % (operation.encode(), id.encode())
+    )
     text = await asyncio.wait_for(reader.read(), 10)
     writer.close()
     return text
@@ -488,18 +558,36 @@
         def say_(name, other):
             limits = {**TERMS["limits"], "peerMessages": other, "probes": False}
             more = [{**EFFECTS[0], "name": "more"}] if other else []
-            conf = {**TERMS, "operations": EFFECTS + more, "limits": limits, "balancers": 2,
-                    "me": "ab".index(name),
-                    "parties": [{"name": "t", "quotaRps": 9}], "familyInfo": {"tellsStart": not other}}
-            files[name].write_bytes(orjson.dumps(told(name=name, listen="%s:%d" % addresses[name],
-                                                      known=known,
-                                                      settings=conf, peers=peers if other else [])))
+            conf = {
+                **TERMS,
+                "operations": EFFECTS + more,
+                "limits": limits,
+                "balancers": 2,
+                "me": "ab".index(name),
+                "parties": [{"name": "t", "quotaRps": 9}],
+                "familyInfo": {"tellsStart": not other},
+            }
+            files[name].write_bytes(
+                orjson.dumps(
+                    told(
+                        name=name,
+                        listen="%s:%d" % addresses[name],
+                        known=known,
+                        settings=conf,
+                        peers=peers if other else [],
+                    )
+                )
+            )
+
         for name in "ab":
             files[name] = tmp_path / name
             say_(name, False)
             environ = {"BALANCER_CONFIG": str(files[name])}
-            works[name] = assemble(asyncio.get_running_loop(), configuration.read_node(environ),
-                                   lambda environ=environ: configuration.read_node(environ))
+            works[name] = assemble(
+                asyncio.get_running_loop(),
+                configuration.read_node(environ),
+                lambda environ=environ: configuration.read_node(environ),
+            )
             serving.append(asyncio.create_task(works[name].serve()))
         while any(work.phase != node.Phase.SERVING for work in works.values()):
             await asyncio.sleep(0.01)
@@ -509,16 +597,22 @@
             id = f"{name}-{i}"
             answers[id] = asyncio.create_task(one_answer(addresses[name], operation, id))
             await asyncio.sleep(0.02)
-            if i % 12 == 5:      # one node after the other, forth and back three times
+            if i % 12 == 5:  # one node after the other, forth and back three times
                 say_("a", i % 24 == 5)
                 works["a"].reload()
             elif i % 12 == 9:
                 say_("b", i % 24 == 9)
                 works["b"].reload()
-            elif i == 34:      # faulty: the settings stay in force whole
+            elif i == 34:  # faulty: the settings stay in force whole
                 before = works["a"].desk.dispatcher.tells
-                files["a"].write_bytes(orjson.dumps({**orjson.loads(files["a"].read_bytes()), "settings": {
-                    **TERMS, "operations": EFFECTS, "tickMs": -1}}))
+                files["a"].write_bytes(
+                    orjson.dumps(
+                        {
+                            **orjson.loads(files["a"].read_bytes()),
+                            "settings": {**TERMS, "operations": EFFECTS, "tickMs": -1},
+                        }
+                    )
+                )
                 works["a"].reload()
                 assert works["a"].desk.dispatcher.tells == before and works["a"].desk.dispatcher.tick == 50
             words += sum(len(work.desk.dispatcher.leases) for work in works.values())
@@ -535,32 +629,60 @@
         return texts, sorted(id for worker in workers for id in worker.jobs)
 
     texts, jobs = asyncio.run(story())
-    assert all(text.startswith(b"HTTP/1.1 200") and text.count(b"HTTP/1.1 ") == 1
-               for text in texts.values()), texts
-    assert jobs == sorted(texts)      # each ran, and none twice
+    assert all(
+        text.startswith(b"HTTP/1.1 200") and text.count(b"HTTP/1.1 ") == 1 for text in texts.values()
+    ), texts
+    assert jobs == sorted(texts)  # each ran, and none twice
 
 
 def test_a_switch_takes_every_term_over_and_back():
     # Guards against a setting that a part copies at start and keeps: half of the old ones would stay in
     # force.
     one = configuration.terms(orjson.loads(orjson.dumps(TERMS)))
-    two = configuration.terms({
-        **TERMS, "balancers": 70, "me": 3, "tickMs": 4, "zone": "b",
-        "operations": [*EFFECTS, {**EFFECTS[0], "name": "more"}],
-        "limits": {"maxForwards": 3, "mayCancel": True, "retryAfter": True, "maxRetryAfterMs": 900,
-                   "probes": True,
-                   "peerMessages": True, "maxOpen": 99}, "prices": {"crossZone": 0.1}, "registryMode": "ask",
-        "rules": {"coldFrom": 0.2, "rampTimeMs": 900, "tipAfterMs": 500, "fallMultiple": 2,
-                  "drainGraceMs": 50},
-        "familyInfo": {"tellsStart": True, "progressMs": 700}, "parties": [{"name": "t", "quotaRps": 9}],
-        "billedValueBy": "work"})
+    two = configuration.terms(
+        {
+            **TERMS,
+            "balancers": 70,
+            "me": 3,
+            "tickMs": 4,
+            "zone": "b",
+            "operations": [*EFFECTS, {**EFFECTS[0], "name": "more"}],
+            "limits": {
+                "maxForwards": 3,
+                "mayCancel": True,
+                "retryAfter": True,
+                "maxRetryAfterMs": 900,
+                "probes": True,
+                "peerMessages": True,
+                "maxOpen": 99,
+            },
+            "prices": {"crossZone": 0.1},
+            "registryMode": "ask",
+            "rules": {
+                "coldFrom": 0.2,
+                "rampTimeMs": 900,
+                "tipAfterMs": 500,
+                "fallMultiple": 2,
+                "drainGraceMs": 50,
+            },
+            "familyInfo": {"tellsStart": True, "progressMs": 700},
+            "parties": [{"name": "t", "quotaRps": 9}],
+            "billedValueBy": "work",
+        }
+    )
 
     def seen(d):
         shown = {}
         for part in (d, d.fleet, d.cutoffs, d.shares):
             for name, value in vars(part).items():
                 if isinstance(value, (int, float, str, bool)) and name not in (
-                        "number", "count", "seen", "ask_at", "ask_fails", "alarm"):
+                    "number",
+                    "count",
+                    "seen",
+                    "ask_at",
+                    "ask_fails",
+                    "alarm",
+                ):
                     shown[type(part).__name__, name] = value
         return shown, [op.name for op in d.ops], d.shares.tenants, d.shares.quotas, sorted(d.fleet.groups)
 
@@ -568,6 +690,7 @@
         d = configuration.open_dispatcher("1", conf)
         d.listed(10, True, [("s-1", "b", "m", 0, "healthy", 0, 1)])
         return d
+
     d = fresh(one)
     for conf in (two, one, two):
         assert seen(d) != seen(fresh(conf))
@@ -582,18 +705,22 @@
     environ = {"BALANCER_CONFIG": str(file)}
 
     async def story():
-        work = assemble(asyncio.get_running_loop(), configuration.read_node(environ),
-                        lambda: configuration.read_node(environ))
+        work = assemble(
+            asyncio.get_running_loop(),
+            configuration.read_node(environ),
+            lambda: configuration.read_node(environ),
+        )
         work.phase, before = node.Phase.SERVING, vars(work.desk.dispatcher.fleet).copy()
-        for said, word in (("{", "not JSON"), ("[]", "not an object"), (None, "cannot be read"),
-                           (changed(("settings", "rules", "rampTimeMs"), None),
-                            "settings.rules.rampTimeMs is missing"),
-                           (changed(("settings", "operations", 0, "idempotency"), "sfae"),
-                            "idempotency is unknown"),
-                           (changed(("settings", "limits"), {"peerMessages": 1}),
-                            "settings.limits.peerMessages"),
-                           (changed(("settings", "balancers"), 0), "settings.balancers is out of its range"),
-                           (changed(("peers",), ["127.0.0.1:0"]), "peers[0] is not host:port")):
+        for said, word in (
+            ("{", "not JSON"),
+            ("[]", "not an object"),
+            (None, "cannot be read"),
+            (changed(("settings", "rules", "rampTimeMs"), None), "settings.rules.rampTimeMs is missing"),
+            (changed(("settings", "operations", 0, "idempotency"), "sfae"), "idempotency is unknown"),
+            (changed(("settings", "limits"), {"peerMessages": 1}), "settings.limits.peerMessages"),
+            (changed(("settings", "balancers"), 0), "settings.balancers is out of its range"),
+            (changed(("peers",), ["127.0.0.1:0"]), "peers[0] is not host:port"),
+        ):
             file.unlink(missing_ok=True)
             if said is not None:
                 file.write_bytes(said.encode() if isinstance(said, str) else orjson.dumps(said))
@@ -603,6 +730,7 @@
         file.write_bytes(orjson.dumps(sound))
         work.reload()
         assert "settings as before" in lines[-1] and not work.turn.inbox
+
     sink = logger.add(lambda text: lines.append(str(text)))
     try:
         asyncio.run(story())
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,5 @@
 """Signals at a start and a stop, and what still comes in meanwhile."""
+
 import asyncio
 import os
 import re
@@ -20,14 +21,23 @@
     file.write_bytes(orjson.dumps(said))
     with open("deploy/balancer.toml") as deploy:
         run = re.search(r'^run = "(.*)"$', deploy.read(), re.M)[1].replace(".venv/bin/python", sys.executable)
-    return subprocess.Popen(["/bin/sh", "-c", run] if shell else [sys.executable, "-m", "grebedyke"],
-                            stderr=subprocess.PIPE, text=True, preexec_fn=preexec_fn,
-                            env={**os.environ, "BALANCER_CONFIG": str(file), **more}), file
+    return subprocess.Popen(
+        ["/bin/sh", "-c", run] if shell else [sys.executable, "-m", "grebedyke"],
+        stderr=subprocess.PIPE,
+        text=True,
+        preexec_fn=preexec_fn,
+        env={**os.environ, "BALANCER_CONFIG": str(file), **more},
+    ), file
 
 
 def told(**more):
-    return {"name": "n1", "listen": "127.0.0.1:%d" % free_port(), "discovery": "127.0.0.1:%d" % free_port(),
-            "settings": TERMS, **more}
+    return {
+        "name": "n1",
+        "listen": "127.0.0.1:%d" % free_port(),
+        "discovery": "127.0.0.1:%d" % free_port(),
+        "settings": TERMS,
+        **more,
+    }
 
 
 def test_a_reload_that_is_told_before_the_program_has_begun_does_not_end_it(tmp_path):
@@ -36,7 +46,7 @@
     try:
         end = time.monotonic() + 20
         while not open(f"/proc/{work.pid}/cmdline", "rb").read().startswith(sys.executable.encode()):
-            assert time.monotonic() < end      # the shell is still there
+            assert time.monotonic() < end  # the shell is still there
         work.send_signal(signal.SIGHUP)
         assert any("-> serving" in line for line in work.stderr)
         work.send_signal(signal.SIGTERM)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,5 @@
 """Two processes of one node, one of which goes at the wrong moment."""
+
 import asyncio
 
 from crossing import Client, Executor, Place, until
@@ -18,7 +19,7 @@
             await until(lambda: old.node.handover.ready, "the heir")
             old.node.stop()
             await until(lambda: not old.door.server, "the queue given over")
-            heir.node.handover.old.close()      # as at its death: the line, the listener and what it has
+            heir.node.handover.old.close()  # as at its death: the line, the listener and what it has
             heir.door.shut()
             heir.serving.cancel()
             heir.node.handover.close()
@@ -43,13 +44,14 @@
             await until(lambda: executor.seen, "the forward")
             await old.tell("done")
             assert b" 200 " in await client.answer()
-            async with Place(executor.row(), folder=str(tmp_path), listen="%s:%d" % old.address,
-                             gate=[executor.address]) as heir:
+            async with Place(
+                executor.row(), folder=str(tmp_path), listen="%s:%d" % old.address, gate=[executor.address]
+            ) as heir:
                 await until(lambda: old.node.handover.ready, "the heir")
                 adopt, adopted = heir.door.adopt, []
 
                 async def adopting(**what):
-                    client.hand_in("r2").leave()      # with the kernel before the heir has the connection
+                    client.hand_in("r2").leave()  # with the kernel before the heir has the connection
                     adopted.append(await adopt(**what))
 
                 take, taken = heir.door.take, []
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,5 @@
 """The watch on the list: silent, reset, moved, at the start; what counts as told and what the node does."""
+
 import asyncio
 from types import SimpleNamespace
 
@@ -44,7 +45,7 @@
             async def connect(make, host, port, **more):
                 if port == int(agent.address.rpartition(":")[2]) and not held:
                     held.append(port)
-                    await asyncio.Event().wait()      # a machine that vanished: it never comes up
+                    await asyncio.Event().wait()  # a machine that vanished: it never comes up
                 return await asked(make, host, port, **more)
 
             asyncio.get_running_loop().create_connection = connect
@@ -67,7 +68,7 @@
     return parts_of(configuration.terms({**TERMS, "rules": rules, "registryMode": mode}))[3]
 
 
-@pytest.mark.parametrize("drain", (0, 50, 300, 700, 2000, 30_000, 10 ** 7))
+@pytest.mark.parametrize("drain", (0, 50, 300, 700, 2000, 30_000, 10**7))
 def test_two_silent_calls_end_before_what_they_miss_counts_as_told(drain):
     # Told 6 s after the first silence, or 2 s after its wait is over; at discovery's return at once.
     grace, again, most = graces(drain, "push")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -25,16 +25,24 @@
 
 REQUESTS = [
     (b"GET /up HTTP/1.1\r\n\r\n", [(b"GET", b"/up", {}, b"")]),
-    (b"\r\nPOST /a?b HTTP/1.1\r\nX-Id:  7 \r\nContent-Length: 3\r\n\r\nxyzGET / HTTP/1.0\r\n\r\n",
-     [(b"POST", b"/a?b", {b"x-id": b"7", b"content-length": b"3"}, b"xyz"), (b"GET", b"/", {}, b"")]),
-    (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n02\r\n\r\n\r\n0\r\nT: 1\r\n\r\n",
-     [(b"POST", b"/", {b"transfer-encoding": b"chunked"}, b"abc\r\n")]),
+    (
+        b"\r\nPOST /a?b HTTP/1.1\r\nX-Id:  7 \r\nContent-Length: 3\r\n\r\nxyzGET / HTTP/1.0\r\n\r\n",
+        [(b"POST", b"/a?b", {b"x-id": b"7", b"content-length": b"3"}, b"xyz"), (b"GET", b"/", {}, b"")],
+    ),
+    (
+        b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n02\r\n\r\n\r\n0\r\nT: 1\r\n\r\n",
+        [(b"POST", b"/", {b"transfer-encoding": b"chunked"}, b"abc\r\n")],
+    ),
 ]
 ANSWERS = [
-    (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202\r\nContent-Length: 0\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n",
-     [(202, {b"content-length": b"0"}, b""), (204, {}, b"")]),
-    (b"HTTP/1.1 503 Busy now\r\nX-Not-Processed: 1\r\nContent-Length: 2\r\n\r\nno",
-     [(503, {b"x-not-processed": b"1", b"content-length": b"2"}, b"no")]),
+    (
+        b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202\r\nContent-Length: 0\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n",
+        [(202, {b"content-length": b"0"}, b""), (204, {}, b"")],
+    ),
+    (
+        b"HTTP/1.1 503 Busy now\r\nX-Not-Processed: 1\r\nContent-Length: 2\r\n\r\nno",
+        [(503, {b"x-not-processed": b"1", b"content-length": b"2"}, b"no")],
+    ),
 ]
 
 
@@ -51,17 +59,24 @@
 def test_what_is_not_http_is_told_so():
     head = b"POST / HTTP/1.1\r\n"
     for data, status in (
-            (b"GET /\r\n\r\n", 400), (b"GET / HTTP/2\r\n\r\n", 505), (b"G@T / HTTP/1.1\r\n\r\n", 400),
-            (head + b"no colon\r\n\r\n", 400), (head + b"A b: 1\r\n\r\n", 400),
-            (head + b" a: 1\r\n\r\n", 400),
-            (head + b"X-Id: 1\r\nX-ID: 2\r\n\r\n", 400), (head + b"X: a\nb\r\n\r\n", 400),
-            (head + b"Content-Length: 1\r\nContent-Length: 1\r\n\r\n", 400),
-            (head + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-            (head + b"Content-Length: -1\r\n\r\n", 400), (head + b"Content-Length: 65\r\n\r\n", 413),
-            (head + b"Transfer-Encoding: gzip\r\n\r\n", 400), (head + b"X: " + b"a" * 600, 431),
-            (head + b"Transfer-Encoding: chunked\r\n\r\n41\r\n", 413),
-            (head + b"Transfer-Encoding: chunked\r\n\r\n+1\r\n", 400),
-            (head + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc", 400)):
+        (b"GET /\r\n\r\n", 400),
+        (b"GET / HTTP/2\r\n\r\n", 505),
+        (b"G@T / HTTP/1.1\r\n\r\n", 400),
+        (head + b"no colon\r\n\r\n", 400),
+        (head + b"A b: 1\r\n\r\n", 400),
+        (head + b" a: 1\r\n\r\n", 400),
+        (head + b"X-Id: 1\r\nX-ID: 2\r\n\r\n", 400),
+        (head + b"X: a\nb\r\n\r\n", 400),
+        (head + b"Content-Length: 1\r\nContent-Length: 1\r\n\r\n", 400),
+        (head + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (head + b"Content-Length: -1\r\n\r\n", 400),
+        (head + b"Content-Length: 65\r\n\r\n", 413),
+        (head + b"Transfer-Encoding: gzip\r\n\r\n", 400),
+        (head + b"X: " + b"a" * 600, 431),
+        (head + b"Transfer-Encoding: chunked\r\n\r\n41\r\n", 413),
+        (head + b"Transfer-Encoding: chunked\r\n\r\n+1\r\n", 400),
+        (head + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc", 400),
+    ):
         for step in (1, len(data)):
             with pytest.raises(http.Bad) as caught:
                 parse(data, step)
@@ -77,21 +92,30 @@
 
 def test_the_door_answers_what_it_is_not_for():
     for data, status, last in (
-            (b"GET /up HTTP/1.1\r\n\r\n", 503, False), (b"POST /up HTTP/1.1\r\n\r\n", 405, False),
-            (b"GET /op/1 HTTP/1.1\r\n\r\n", 405, False), (b"POST /other/1 HTTP/1.1\r\n\r\n", 404, False),
-            (HAND_IN.replace(b"X-Request-ID: r1\r\n", b""), 400, True),
-            (HAND_IN.replace(b"4000", b"-4"), 400, True), (HAND_IN.replace(b"4000", b"0"), 400, True),
-            (HAND_IN.replace(b"4000", b"4001"), 400, True), (HAND_IN.replace(b"r1", b"r/1"), 400, True),
-            (HAND_IN.replace(b"4000", b"4000\r\nX-Priority-Class: other"), 400, True),
-            (HAND_IN.replace(b"4000", b"4000\r\nX-Cost: nan"), 400, True),
-            (HAND_IN.replace(b"4000", b"4000\r\nX-Request-ID: r2"), 400, True),
-            (b"\x16\x03\x01 hello\r\n\r\n", 400, True), (news("done").replace(b'"id"', b'"no"'), 204, False)):
+        (b"GET /up HTTP/1.1\r\n\r\n", 503, False),
+        (b"POST /up HTTP/1.1\r\n\r\n", 405, False),
+        (b"GET /op/1 HTTP/1.1\r\n\r\n", 405, False),
+        (b"POST /other/1 HTTP/1.1\r\n\r\n", 404, False),
+        (HAND_IN.replace(b"X-Request-ID: r1\r\n", b""), 400, True),
+        (HAND_IN.replace(b"4000", b"-4"), 400, True),
+        (HAND_IN.replace(b"4000", b"0"), 400, True),
+        (HAND_IN.replace(b"4000", b"4001"), 400, True),
+        (HAND_IN.replace(b"r1", b"r/1"), 400, True),
+        (HAND_IN.replace(b"4000", b"4000\r\nX-Priority-Class: other"), 400, True),
+        (HAND_IN.replace(b"4000", b"4000\r\nX-Cost: nan"), 400, True),
+        (HAND_IN.replace(b"4000", b"4000\r\nX-Request-ID: r2"), 400, True),
+        (b"\x16\x03\x01 hello\r\n\r\n", 400, True),
+        (news("done").replace(b'"id"', b'"no"'), 204, False),
+    ):
         node = floor()
         client = say(node.client(), data)
         node.loop.go()
         assert client.transport.written.startswith(b"HTTP/1.1 %d " % status), data
-        assert (client.transport.eof
-                or client.transport.closing) == last and not node.desk.owed and not node.told.heard
+        assert (
+            (client.transport.eof or client.transport.closing) == last
+            and not node.desk.owed
+            and not node.told.heard
+        )
 
 
 def test_an_answer_to_a_message_cut_short_is_not_reset_by_what_still_comes():
@@ -131,14 +155,17 @@
     third.connection_lost(None)
     node.desk.do(0, ("error", b"r1"))
     node.loop.go()
-    fresh = node.client()      # over the cap again: the one that is between two messages makes room
+    fresh = node.client()  # over the cap again: the one that is between two messages makes room
     assert busy[0].transport.closing and not busy[1].transport.closing and not fresh.transport.closing
 
 
 def test_an_answer_of_this_turn_goes_out_before_its_connection_is_closed():
     # At the stop's end, and where room is made, the answer was still in the ring and was lost.
-    for close in (lambda node: node.door.wind_up(), lambda node: node.client(),
-                  lambda node: node.door.shut()):
+    for close in (
+        lambda node: node.door.wind_up(),
+        lambda node: node.client(),
+        lambda node: node.door.shut(),
+    ):
         node = floor(most=1)
         client = node.hand_in()
         node.desk.do(NOW, ("error", b"r1"))
@@ -149,14 +176,22 @@
 
 def test_who_makes_room_for_a_newcomer():
     # A crowd that connects and says nothing took the idle connections of all clients that had been good.
-    for silent, asked, age, closed in ((15, 0, 4_000, ["silent"]), (15, 0, 0, []), (14, 1, 0, ["asked"]),
-                                       (16, 0, 400, ["silent"]), (0, 0, 0, [])):
+    for silent, asked, age, closed in (
+        (15, 0, 4_000, ["silent"]),
+        (15, 0, 0, []),
+        (14, 1, 0, ["asked"]),
+        (16, 0, 400, ["silent"]),
+        (0, 0, 0, []),
+    ):
         node = floor(most=16)
         kept = node.hand_in()
         node.desk.do(NOW, ("error", b"r1"))
         node.loop.go()
-        crowd = [(name, say(node.client(), text)) for name, text in
-                 [("asked", b"GET /up HTTP/1.1\r\n\r\n")] * asked + [("silent", HAND_IN[:30])] * silent]
+        crowd = [
+            (name, say(node.client(), text))
+            for name, text in [("asked", b"GET /up HTTP/1.1\r\n\r\n")] * asked
+            + [("silent", HAND_IN[:30])] * silent
+        ]
         node.loop.go()
         node.door.unsaid = {c: since - age for c, since in node.door.unsaid.items()}
         good = say(node.client(), HAND_IN.replace(b"r1", b"r2"))
@@ -171,9 +206,9 @@
     client = node.hand_in()
     node.desk.do(NOW, ("error", b"r1"))
     node.loop.go()
-    assert not say(client, HAND_IN).transport.closing      # never one that hands in
+    assert not say(client, HAND_IN).transport.closing  # never one that hands in
     node, clients = floor(share=2), []
-    say(node.client(), news("done"))      # an executor's is not one of them
+    say(node.client(), news("done"))  # an executor's is not one of them
     for i in range(4):
         clients.append(say(node.client(), HAND_IN.replace(b"r1", b"r%d" % i)))
         if i != 1:
@@ -203,8 +238,9 @@
     for after, told in ((20_000, []), (22_500, [slow, mute]), (70_000, [slow, mute, used])):
         node.door.look(NOW + after)
         node.loop.go()
-        assert [c for c in (slow, mute, owed, used) if c.transport.written.count(b"HTTP/1.1 408")
-                == 1] == told
+        assert [
+            c for c in (slow, mute, owed, used) if c.transport.written.count(b"HTTP/1.1 408") == 1
+        ] == told
         assert not (owed.transport.closing or used.transport.closing and used not in told)
 
 
@@ -227,16 +263,20 @@
 
 
 BROKEN = "broken"
-STORIES = [      # what comes back to a forward, what the module is told, how the client is answered
+STORIES = [  # what comes back to a forward, what the module is told, how the client is answered
     ((ACCEPTED, news("done", more=',"result":"\\u00e9!"')), "ok", b"\r\n\r\n\xc3\xa9!"),
     ((news("done", more=',"result":"x"'), ACCEPTED), "ok", b"\r\n\r\nx"),
     ((news("done", more=',"result":"x"'), BROKEN), "ok", b"\r\n\r\nx"),
     ((news("done", more=',"result":"x"'), news("done", more=',"result":"y"')), "ok", b"\r\n\r\nx"),
-    ((ACCEPTED, news("failed")), "fault", b""), ((ACCEPTED, news("returned")), "full", b""),
-    ((ACCEPTED, news("lost")), "reset", b""), ((BROKEN,), "reset", b""),
-    ((ACCEPTED, BROKEN, news("done")), "ok", b"200 OK"), ((ACCEPTED, news("done", name="s-2")), None, b""),
+    ((ACCEPTED, news("failed")), "fault", b""),
+    ((ACCEPTED, news("returned")), "full", b""),
+    ((ACCEPTED, news("lost")), "reset", b""),
+    ((BROKEN,), "reset", b""),
+    ((ACCEPTED, BROKEN, news("done")), "ok", b"200 OK"),
+    ((ACCEPTED, news("done", name="s-2")), None, b""),
     ((ACCEPTED, news("done", id="r0")), None, b""),
-    ((ACCEPTED.replace(b"202", b"503"),), "fault", b""), ((ACCEPTED.replace(b"202", b"500"),), "fault", b""),
+    ((ACCEPTED.replace(b"202", b"503"),), "fault", b""),
+    ((ACCEPTED.replace(b"202", b"500"),), "fault", b""),
     ((ACCEPTED.replace(b"202 Accepted", b"503 x\r\nX-Not-Processed: 1"),), "full", b""),
     ((ACCEPTED.replace(b"202 Accepted", b"504 x\r\nX-Not-Processed: 1"),), "full", b""),
     ((ACCEPTED.replace(b"202 Accepted", b"500 x\r\nX-Not-Processed: 1"),), "fault", b""),
@@ -266,8 +306,11 @@
 
 
 def test_never_ran_only_while_the_last_byte_is_not_with_the_kernel():
-    for stuck, drained, outcome in ((False, False, ledger.RESET), (True, False, ledger.NO_CONNECTION),
-                                    (True, True, ledger.RESET)):
+    for stuck, drained, outcome in (
+        (False, False, ledger.RESET),
+        (True, False, ledger.NO_CONNECTION),
+        (True, True, ledger.RESET),
+    ):
         node = floor()
         node.hand_in()
         line = node.lines[0]
@@ -305,7 +348,7 @@
         say(node.client(), news(state))
         node.loop.go()
         if outcome == "reset":
-            say(node.lines[0], b"HTTP/1.1 204 x\r\n\r\n")      # the executor has heard that it is given up
+            say(node.lines[0], b"HTTP/1.1 204 x\r\n\r\n")  # the executor has heard that it is given up
             node.loop.go()
         assert [x[3] for x in node.ends()] == ["full", outcome]
         assert (b"DELETE /jobs/r1 " in node.lines[0].transport.written) == (outcome == "reset")
@@ -338,12 +381,14 @@
 def test_the_end_of_a_forwards_time():
     # Before its 202 the line ends, after it the executor is told; what never left cannot have run.
     for before, outcome, closing, delete in (
-            ((), "timeout", True, False), ((ACCEPTED,), "timeout", False, True),
-            (None, "no connection", False, False)):
+        ((), "timeout", True, False),
+        ((ACCEPTED,), "timeout", False, True),
+        (None, "no connection", False, False),
+    ):
         node = floor()
         node.hand_in()
         if before is None:
-            node.pool.endpoints["s-1"].idle.clear()      # a connect that never comes up
+            node.pool.endpoints["s-1"].idle.clear()  # a connect that never comes up
         node.forward(allowed=70_000)
         for part in before or ():
             say(node.lines[0], part)
@@ -410,7 +455,7 @@
             say(node.lines[0], b"HTTP/1.1 204 x\r\n\r\n")
         node.loop.go()
         assert [x[3] for x in node.ends()] == outcomes
-        _, _, call, args = max(node.turn.limits, key=lambda limit: limit[1])      # silence there has a limit
+        _, _, call, args = max(node.turn.limits, key=lambda limit: limit[1])  # silence there has a limit
         call(0, *args)
         node.loop.go()
         assert [x[3] for x in node.ends()] == (outcomes or ["cancelled"])
@@ -464,8 +509,9 @@
         due = client.owed.due
         node.turn.limits.sort()
         ends = [(limit[0], limit[2].__name__) for limit in node.turn.limits]
-        assert (due - 50, "overslept") in ends and any(name == "overdue" and at < due - 50 for at,
-                                                       name in ends)
+        assert (due - 50, "overslept") in ends and any(
+            name == "overdue" and at < due - 50 for at, name in ends
+        )
         assert node.told.heard[0][4] == NOW + 39_800
 
 
@@ -481,7 +527,7 @@
 def test_forwards_that_cannot_be_made_end_at_the_next_turn():
     node = floor(lines=2)
     node.hand_in()
-    node.pool.endpoints["s-1"].idle.clear()      # both descriptors in use: no third line
+    node.pool.endpoints["s-1"].idle.clear()  # both descriptors in use: no third line
     node.lines[1].carry(node.pool.endpoints["s-2"].call(b"GET", b"/alive", (), b"", lambda *_: None))
     node.desk.do(NOW, ("forward", b"r1", "s-1", 9_000))
     assert not node.ends()
@@ -507,9 +553,12 @@
 
 def test_lines_that_executors_give_up_early_are_used_only_as_long_as_they_are_seen_to_last():
     # Each message on a line that had died unseen ended as a reset, after which little may be sent again.
-    for ending, first, usable in (("eof", False, 15_000), ("reset", False, 15_000),
-                                  ("reset", True, 1_000_000),
-                                  ("dropped", False, 1_000_000)):
+    for ending, first, usable in (
+        ("eof", False, 15_000),
+        ("reset", False, 15_000),
+        ("reset", True, 1_000_000),
+        ("dropped", False, 1_000_000),
+    ):
         node = floor()
         node.hand_in()
         line = node.lines[0]
@@ -541,10 +590,10 @@
 
 def test_probes_are_told_once_with_their_report():
     for answer, told in (
-            (b"HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\nTEXT inflight=3, x0=1.50",
-             ("s-1", "ok", 1.5, 3.0)),
-            (b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n", ("s-1", "full", None, None)),
-            (b"", ("s-1", "timeout", None, None))):
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\nTEXT inflight=3, x0=1.50", ("s-1", "ok", 1.5, 3.0)),
+        (b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n", ("s-1", "full", None, None)),
+        (b"", ("s-1", "timeout", None, None)),
+    ):
         node = floor()
         node.desk.do(NOW, ("probe", "s-1"))
         node.loop.go()
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,5 @@
 """The fleet's parts in simulated time, under faults; builds broken on purpose, all of them to be caught."""
+
 from concurrent.futures import ProcessPoolExecutor
 from contextlib import nullcontext
 from types import SimpleNamespace
@@ -14,8 +15,12 @@
 from grebedyke.rig import broken
 from grebedyke.rig.world import FAULTS, World, play
 
-SHAPES = [{"kinds": None}, {"kinds": ("cut", "stop", "stalled"), "faults": 4, "drift": 0.2},
-          {"kinds": ("slow disk", "kill", "all killed"), "faults": 4}, {"nodes": 7, "voters": 5, "faults": 2}]
+SHAPES = [
+    {"kinds": None},
+    {"kinds": ("cut", "stop", "stalled"), "faults": 4, "drift": 0.2},
+    {"kinds": ("slow disk", "kill", "all killed"), "faults": 4},
+    {"nodes": 7, "voters": 5, "faults": 2},
+]
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -38,13 +43,17 @@
     "a vote is answered before it is kept": ({"kinds": ("slow disk", "kill", "all killed"), "faults": 4}, 3),
     "half is taken for a majority": ({}, 1),
     "a spoilt file is taken for a new member's": (
-        {"kinds": ("spoilt file", "empty folder", "kill"), "faults": 3}, 6),
+        {"kinds": ("spoilt file", "empty folder", "kill"), "faults": 3},
+        6,
+    ),
     "back is taken for warm": ({}, 0),
     "losses without a plan are not counted": ({}, 3),
     "a lease is given to whoever asks": ({}, 0),
     "who is not sure uses what waits": ({}, 19),
     "who has just begun uses all": (
-        {"kinds": ("older folder", "empty folder", "cut", "copy"), "faults": 4}, 4),
+        {"kinds": ("older folder", "empty folder", "cut", "copy"), "faults": 4},
+        4,
+    ),
 }
 
 
@@ -127,7 +136,7 @@
     node, others = fleet.nodes[1], []
     node.heard(now, 0, ["p", "k", [50, 0, 9], 1, [0, 1, 2]])
     fleet.pull(now, 1, disk=False)
-    node.heard(now, 0, ["p", "k", [51, 0, 9], 1, [0, 1, 2]])      # while the first one's write is under way
+    node.heard(now, 0, ["p", "k", [51, 0, 9], 1, [0, 1, 2]])  # while the first one's write is under way
     node.kept(now, "votes", node.number, True)
     fleet.pull(now, 1, disk=False)
     others = [message for by, _, message in fleet.mail if by == 1 and message[0] == "h"]
@@ -142,8 +151,12 @@
         now, _ = agree(fleet, now, 0, {"v": 1})
         old = dict(fleet.disks[1])
         now, _ = agree(fleet, now, 0, {"v": 2})
-        now = fleet.go(now, lambda: all(n.voter.seqs.get(1) == fleet.nodes[1].voter.seq
-                                        for n in (fleet.nodes[0], fleet.nodes[2])))
+        now = fleet.go(
+            now,
+            lambda: all(
+                n.voter.seqs.get(1) == fleet.nodes[1].voter.seq for n in (fleet.nodes[0], fleet.nodes[2])
+            ),
+        )
         fleet.disks[0], fleet.nodes[0] = {}, None
         fleet.nodes[0] = fleet.begin(0)
         now = fleet.go(now, lambda: fleet.nodes[0].voter.phase == VOTING)
@@ -151,6 +164,7 @@
         fleet.nodes[1] = fleet.begin(1)
         fleet.go(now, lambda: fleet.nodes[1].voter.phase != CHECKING, nodes=(0, 1))
         return fleet.nodes[1].voter.phase == VOTING
+
     assert not older_copy_votes()
     with broken.build("who is let in again does not hear how far the others are"):
         assert older_copy_votes()
@@ -173,8 +187,13 @@
     # One that was cut off lacks what the next change was made of.
     now, _ = agree(fleet, now, 0, {**long, "rev": 3}, lambda by, to, m: to != 2)
     now = fleet.go(now, through=lambda by, to, m: to != 2)
-    now, _ = agree(fleet, now, 0, {**long, "rev": 4}, lambda by, to, m: (
-        counted(by, to, m) and not (to == 2 and m[0] in "pa")))
+    now, _ = agree(
+        fleet,
+        now,
+        0,
+        {**long, "rev": 4},
+        lambda by, to, m: (counted(by, to, m) and not (to == 2 and m[0] in "pa")),
+    )
     now = fleet.go(now, lambda: fleet.nodes[2].value("k")["rev"] == 4, counted)
     assert fleet.nodes[2].value("k") == {**long, "rev": 4} and any(m[0] == "?" for m in sent)
 
@@ -203,7 +222,7 @@
         fleet.nodes[i] = fleet.begin(i)
     now = fleet.go(now, lambda: False)
     assert [fleet.nodes[i].voter.phase for i in (1, 2)] == [FORGOTTEN] * 2
-    assert agree(fleet, now, 0, {"v": 2})[1] == [None]      # said plainly, not half done
+    assert agree(fleet, now, 0, {"v": 2})[1] == [None]  # said plainly, not half done
 
 
 def test_a_vote_of_a_life_that_is_past_does_not_count():
@@ -266,13 +285,22 @@
     w.run(20_000)
     agreements = [h.parts[0] for h in w.hosts]
     told = []
-    agreements[4].change(w.hosts[4].clock(), "board", lambda value: (board.empty(), True),
-                         lambda now, result: told.append(result))
+    agreements[4].change(
+        w.hosts[4].clock(),
+        "board",
+        lambda value: (board.empty(), True),
+        lambda now, result: told.append(result),
+    )
     w.hosts[4].pull()
     w.run(40_000)
     for node, add in ((3, True), (0, False), (4, True)):
-        w.hosts[1].parts[0].called(w.hosts[1].clock(), lambda *told_: told.append(told_), b"POST",
-                                   b"/v1/agreement/%s/%d" % (b"add" if add else b"remove", node), None)
+        w.hosts[1].parts[0].called(
+            w.hosts[1].clock(),
+            lambda *told_: told.append(told_),
+            b"POST",
+            b"/v1/agreement/%s/%d" % (b"add" if add else b"remove", node),
+            None,
+        )
         w.hosts[1].pull()
         w.run(w.now + 60_000)
     assert told == [True, (200, "done"), (200, "done"), (200, "done")]
@@ -286,8 +314,9 @@
     # Simulated round 303578: it told what its disk had, whatever was open, when a newer board had just come.
     at = {"e4": ["leaving", 18, 0], "e5": ["leaving", 20, 0]}
     plan = {"id": "p", "machines": {}, "without": []}
-    agreement = SimpleNamespace(keys=[], followers=[], members=[], votes=lambda: False,
-                                voter=SimpleNamespace(epoch=1))
+    agreement = SimpleNamespace(
+        keys=[], followers=[], members=[], votes=lambda: False, voter=SimpleNamespace(epoch=1)
+    )
     part = Maintenance(agreement, "f", 0, 3, 1, 10_000, 0.02, 5_000, 10_000, 0, (), None)
     part.board, part.kept_rev = {"rev": 20, "plan": plan, "state": "open", "at": at, "past": []}, 18
     part.apply(0)
