--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from grebedyke.agreement import keeping
-from grebedyke.agreement.part import Agreement
-from grebedyke.agreement.voter import CHECKING, FORGOTTEN, FOUNDING, VOTING
-from grebedyke.ledger import Chance
-from grebedyke.maintenance import board
-from grebedyke.maintenance.part import Maintenance
+from grebedyke import errors
+from grebedyke.consensus.acceptor import CHECKING, FORGOTTEN, FOUNDING, VOTING
+from grebedyke.consensus.consensus import Consensus
+from grebedyke.maintenance import rollout
+from grebedyke.maintenance.maintenance import Maintenance
+from grebedyke.model import SeededRandom
 from grebedyke.rig import broken
 from grebedyke.rig.world import FAULTS, World, play
 
@@ -77,7 +77,7 @@
 
     def begin(self, i, process=None):
         self.told.append(process)
-        node = Agreement(Chance(i), "f", i, 3, [0, 1, 2], process or 100 + len(self.told), 500)
+        node = Consensus(SeededRandom(i), "f", i, 3, [0, 1, 2], process or 100 + len(self.told), 500)
         node.recalled(0, dict(self.disks[i]) or {"votes": None})
         return node
 
@@ -210,8 +210,8 @@
         phases = []
         now = fleet.go(now, lambda: phases.append(fleet.nodes[2].voter.phase) or phases[-1] == VOTING)
         assert FORGOTTEN in phases and phases[-1] == VOTING, disk
-    with pytest.raises(keeping.Foreign):
-        Agreement(Chance(0), "g", 2, 3, [0, 1, 2], 5, 500).recalled(0, {"votes": spoilt})
+    with pytest.raises(errors.ForeignRecordError):
+        Consensus(SeededRandom(0), "g", 2, 3, [0, 1, 2], 5, 500).recalled(0, {"votes": spoilt})
 
 
 def test_two_that_have_forgotten_are_no_majority():
@@ -244,7 +244,7 @@
 
 def sure_until(granted_at):
     """Until when a node is sure that asked at 0 and was answered at granted_at."""
-    agreement = Agreement(Chance(1), "f", 0, 1, [0], 9, 500)
+    agreement = Consensus(SeededRandom(1), "f", 0, 1, [0], 9, 500)
     part = Maintenance(agreement, "f", 0, 1, 9, 10_000, 0.02, 5_000, 10_000, 0, (), None)
     agreement.voter.adopt(1, [0])
     part.recalled(0, {})
@@ -262,7 +262,7 @@
 def test_the_bound_covers_any_two_clocks():
     # A slow node's lease, measured by a fast driver.
     for drift in (0.0, 0.01, 0.02, 0.2):
-        agreement = Agreement(Chance(1), "f", 0, 1, [0], 9, 500)
+        agreement = Consensus(SeededRandom(1), "f", 0, 1, [0], 9, 500)
         part = Maintenance(agreement, "f", 0, 1, 9, 10_000, drift, 0, 0, 0, (), None)
         ends = part.lease / (1 - drift / 2) * (1 + drift / 2)
         assert part.bound() >= ends
@@ -272,10 +272,10 @@
 
 def test_a_late_word_says_nothing_of_a_machine_that_is_out_anew():
     value = {"rev": 9, "plan": {"id": "p"}, "state": "open", "at": {"e": ["free", 9, 0]}, "past": []}
-    assert board.by_word(value, "e", 4)[0] is value
-    assert board.by_word(value, "e", 9)[0]["at"]["e"][0] == "back"
+    assert rollout.by_word(value, "e", 4)[0] is value
+    assert rollout.by_word(value, "e", 9)[0]["at"]["e"][0] == "back"
     with broken.build("numbers are not compared"):
-        assert board.by_word(value, "e", 4)[0] is not value
+        assert rollout.by_word(value, "e", 4)[0] is not value
 
 
 def test_members_change_one_at_a_time_and_all_values_come_along():
@@ -288,7 +288,7 @@
     agreements[4].change(
         w.hosts[4].clock(),
         "board",
-        lambda value: (board.empty(), True),
+        lambda value: (rollout.empty(), True),
         lambda now, result: told.append(result),
     )
     w.hosts[4].pull()
@@ -307,7 +307,7 @@
     assert [a.members for a in agreements] == [[1, 2, 3, 4]] * 5
     assert [a.voter.phase for a in agreements] == ["out", VOTING, VOTING, VOTING, VOTING]
     assert all(a.value("members")["settled"] for a in agreements)
-    assert agreements[4].voter.registers["board"][2] == board.empty()
+    assert agreements[4].voter.registers["board"][2] == rollout.empty()
 
 
 def test_a_node_does_not_agree_while_its_forwards_are_open_though_its_disk_is_behind():
