--- a/grebedyke/checks.py
+++ b/grebedyke/checks.py
@@ -53,7 +53,8 @@
 
 
 def address(value):
-    """>>> address("127.0.0.4:9000")
+    """
+    >>> address("127.0.0.4:9000")
     ('127.0.0.4', 9000)
     """
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
--- a/grebedyke/consensus/records.py
+++ b/grebedyke/consensus/records.py
@@ -11,7 +11,8 @@
 
 
 def record(fleet, node, content):
-    """>>> data = record("f", 3, {"life": 2})
+    """
+    >>> data = record("f", 3, {"life": 2})
     >>> content("f", 3, data)
     {'life': 2}
     >>> content("f", 3, data[:-1])
--- a/grebedyke/rig/scale.py
+++ b/grebedyke/rig/scale.py
@@ -706,7 +706,8 @@
 
 
 def both(known, told):
-    """>>> both("driver", "voter"), both("driver", "holder"), both(None, "holder")
+    """
+    >>> both("driver", "voter"), both("driver", "holder"), both(None, "holder")
     ('driver', 'holder and driver', 'holder')
     """
     return f"holder and {known}" if known and told == "holder" else known or told
--- a/grebedyke/service/configuration/spelled.py
+++ b/grebedyke/service/configuration/spelled.py
@@ -30,7 +30,8 @@
 
 
 def plain(value, path=()):
-    """>>> plain({"windowMs": "2 s", "resendRatio": "17 %", "counts": "1 min", "name": "2 s of Pécs"})
+    """
+    >>> plain({"windowMs": "2 s", "resendRatio": "17 %", "counts": "1 min", "name": "2 s of Pécs"})
     {'windowMs': 2000, 'resendRatio': 0.17, 'counts': 60, 'name': '2 s of Pécs'}
     >>> plain({"rules": {"coldFrom": "2 s"}})
     Traceback (most recent call last):
--- a/grebedyke/standin/faults.py
+++ b/grebedyke/standin/faults.py
@@ -29,7 +29,8 @@
 
 
 def fault(text):
-    """>>> fault("hang@8+4")
+    """
+    >>> fault("hang@8+4")
     Fault(kind='hang', start=8.0, end=12.0, chance=1.0)
     >>> fault("reset%5").chance, fault("lost@2%50")
     (0.05, Fault(kind='lost', start=2.0, end=inf, chance=0.5))
--- a/grebedyke/standin/talk.py
+++ b/grebedyke/standin/talk.py
@@ -28,7 +28,8 @@
 
 
 def place(text):
-    """>>> place("localhost:9000")
+    """
+    >>> place("localhost:9000")
     ('127.0.0.1', 9000)
     """
     host, _, port = text.rpartition(":")
@@ -71,7 +72,8 @@
 
 
 def message(first, body=b"", **headers):
-    """>>> message("HTTP/1.1 202 Accepted")
+    """
+    >>> message("HTTP/1.1 202 Accepted")
     b'HTTP/1.1 202 Accepted\\r\\nContent-Length: 0\\r\\n\\r\\n'
     """
     rows = [f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items()]
--- a/grebedyke/wire/discovery.py
+++ b/grebedyke/wire/discovery.py
@@ -62,7 +62,8 @@
 
 
 def figure(value, other):
-    """>>> figure(2.5, 1), figure(None, 1), figure("x", 1), figure(-3, 0), figure(True, 0)
+    """
+    >>> figure(2.5, 1), figure(None, 1), figure("x", 1), figure(-3, 0), figure(True, 0)
     (2.5, 1, 1, 0, 0)
     """
     good = isinstance(value, (int, float)) and not isinstance(value, bool) and value > 0
--- a/grebedyke/wire/http.py
+++ b/grebedyke/wire/http.py
@@ -224,7 +224,8 @@
 
 
 def answer(status, length, keep, headers=""):
-    """>>> answer(204, 0, True)
+    """
+    >>> answer(204, 0, True)
     b'HTTP/1.1 204 No Content\\r\\n\\r\\n'
     >>> answer(503, 2, False, "Retry-After: 0.5\\r\\n").split(b"\\r\\n")[1:4]
     [b'Retry-After: 0.5', b'Content-Length: 2', b'Connection: close']
--- a/grebedyke/wire/reports.py
+++ b/grebedyke/wire/reports.py
@@ -12,7 +12,8 @@
 
 
 def figures(text):
-    """>>> figures("TEXT inflight=7, queue=2, util=0.61, odd, x0=n") == {"rif": 7.0, "q": 2.0, "busy": 0.61}
+    """
+    >>> figures("TEXT inflight=7, queue=2, util=0.61, odd, x0=n") == {"rif": 7.0, "q": 2.0, "busy": 0.61}
     True
     """
     found = {}
--- a/grebedyke/wire/words.py
+++ b/grebedyke/wire/words.py
@@ -22,7 +22,8 @@
 
 
 def pack(kind, number, *figures):
-    """>>> unpack(pack("end", 7, "ok", 2.5)), unpack(pack("end", 7, "full", None))
+    """
+    >>> unpack(pack("end", 7, "ok", 2.5)), unpack(pack("end", 7, "full", None))
     (('end', 7, 'ok', 2.5), ('end', 7, 'full', None))
     >>> unpack(pack("ask", 2 ** 32 - 1, 5, 80_000, 2.7e12, 0, 400, 1, 0, 0, 0))
     ('ask', 4294967295, 5, 80000, 4294967295, 0, 255, 1, 0, 0, 0)
