--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -101,14 +101,14 @@
         finally:
             self.spent[0] += thread_time() - start - LOOK
 
-    def heard(self, now, by, message):
-        return self.timed(self.part.heard, now, by, message)
+    def receive(self, now, sender, message):
+        return self.timed(self.part.receive, now, sender, message)
 
-    def decide(self, now):
-        return self.timed(self.part.decide, now)
+    def next_action(self, now):
+        return self.timed(self.part.next_action, now)
 
-    def busy(self, now, names):
-        self.timed(self.part.busy, now, names)
+    def open_attempts_reported(self, now, names):
+        self.timed(self.part.open_attempts_reported, now, names)
 
 
 def names(count):
@@ -324,7 +324,7 @@
     def change():
         i = len(made) % len(value)
         made.append(i)
-        giver.parts[0].change(
+        giver.parts[0].propose(
             giver.clock(),
             "configuration",
             lambda old: ({**(old or value), f"key {i}": f"{len(made):040}"}, True),
--- a/grebedyke/consensus/consensus.py
+++ b/grebedyke/consensus/consensus.py
@@ -19,6 +19,7 @@
     life,
     newer,
 )
+from grebedyke.consensus.actions import PersistRecord
 from grebedyke.consensus.component import Component
 from grebedyke.consensus.delta import difference, patched
 
@@ -61,9 +62,9 @@
     `wait`: for an answer, in tenths of a millisecond; tries that fail are repeated later each time.
     """
 
-    paths = (b"/v1/agreement",)
-    files = (FILE,)
-    bans = False
+    call_paths = (b"/v1/agreement",)
+    record_files = (FILE,)
+    controls_exclusions = False
 
     def __init__(self, chance, fleet, me, nodes, founders, process, wait):
         super().__init__(me)
@@ -76,10 +77,10 @@
         # How often the time for a round is doubled: learnt where disks or links take longer than `wait`.
         self.patience = 0
         self.wishes, self.rounds, self.retry, self.counter = {}, {}, {}, 0
-        self.learned, self.followers = {}, []  # key -> (ballot, value); who is told of each news
+        self.learned, self.listeners = {}, []  # key -> (ballot, value); who is told of each news
         self.told, self.states, self.next, self.recovering = {}, {}, 0, None
         self.settling, self.why, self.pause = False, "", 0
-        self.watching, self.said = (), 0
+        self.said = 0
 
     # What is known.
 
@@ -87,28 +88,40 @@
     def members(self):
         return self.voter.members
 
-    def value(self, key):
+    @property
+    def epoch(self):
+        return self.voter.epoch
+
+    def quorum_size(self):
+        return self.voter.quorum()
+
+    def accepted_value(self, key):
+        """The value that this member has accepted last, whether or not it was chosen; None: none yet."""
+        register = self.voter.registers.get(key)
+        return register[2] if register else None
+
+    def chosen_value(self, key):
         """The newest value that this node knows to be agreed on, None: none yet."""
         return self.learned[key][1] if key in self.learned else None
 
-    def votes(self):
-        return self.voter.phase == VOTING and self.me in self.members
+    def is_voting(self):
+        return self.voter.phase == VOTING and self.node_id in self.members
 
     # The start.
 
-    def recalled(self, now, stored):
+    def restore(self, now, stored_records):
         """Raises errors.ForeignRecordError where the folder is another node's."""
-        data = stored.get(FILE)
+        data = stored_records.get(FILE)
         self.next = now
         if data is None:
-            if self.me in self.founders:
+            if self.node_id in self.founders:
                 # Not a new member for having nothing: all are asked. The mark is kept before it is told,
                 # so that a restart in the middle of the founding is still the same founder.
                 self.voter.phase, self.voter.life = FOUNDING, (1, self.process)
                 self.keep(now)
             return
         try:
-            self.voter.recall(records.content(self.fleet, self.me, data))
+            self.voter.recall(records.content(self.fleet, self.node_id, data))
         except errors.CorruptRecordError as problem:
             self.lose(now, f"spoilt: {problem}")
         except errors.ForeignRecordError:
@@ -135,7 +148,7 @@
         if voter.phase in (VOTING, OUT) or now < self.next:
             return
         self.next = now + self.wait + int(self.wait * self.chance.draw())
-        others = [v for v in self.members if v != self.me]
+        others = [v for v in self.members if v != self.node_id]
         if voter.phase == FORGOTTEN and self.recovering:
             for v in others:
                 if v not in self.states:
@@ -147,7 +160,7 @@
     def weigh(self, now):
         """Whether what the others told is enough."""
         voter = self.voter
-        others = [v for v in self.members if v != self.me]
+        others = [v for v in self.members if v != self.node_id]
         told = {v: self.told[v] for v in others if v in self.told}
         if any(
             newer(mine, voter.life) or mine == voter.life and seq > voter.seq
@@ -198,13 +211,15 @@
         self.news_at = None
         self.dirty, self.writing = False, (self.number, self.unkept, self.voter.life, self.voter.seq)
         self.unkept = []
-        return "keep", FILE, self.number, records.record(self.fleet, self.me, self.voter.kept_form())
+        return PersistRecord(
+            FILE, self.number, records.record(self.fleet, self.node_id, self.voter.kept_form())
+        )
 
-    def kept(self, now, name, number, done):
-        if name != FILE or self.writing is None or number != self.writing[0]:
+    def record_persisted(self, now, file, number, succeeded):
+        if file != FILE or self.writing is None or number != self.writing[0]:
             return
         (_, answers, its_life, seq), self.writing = self.writing, None
-        if not done:
+        if not succeeded:
             self.failed, self.pause = self.failed + 1, now + 4 * self.wait
             if self.voter.phase == FOUNDING:
                 self.dirty = True  # nobody has been told anything yet
@@ -223,7 +238,7 @@
             # what that record has: with a later number a kill before the next one made the newest file old.
             self.said = seq
             for v in self.members:
-                if v != self.me:
+                if v != self.node_id:
                     self.send(v, ["h", its_life, seq])
 
     def answer(self, now, to, message, keep):
@@ -234,13 +249,13 @@
 
     # Proposals.
 
-    def change(self, now, key, change, done, wait=None):
+    def propose(self, now, key, change, done, timeout=None):
         """done(now, result): None where it is not known whether it came about; asking again is harmless."""
-        until = now + (wait or 20 * self.wait)
+        until = now + (timeout or 20 * self.wait)
         self.wishes.setdefault(key, deque()).append(Proposal(change, done, until))
         self.retry.setdefault(key, (now, 0))
 
-    def propose(self, now):
+    def drive_rounds(self, now):
         for key, wishes in list(self.wishes.items()):
             while wishes and wishes[0].until <= now and key not in self.rounds:
                 wishes.popleft().done(now, None)
@@ -257,7 +272,7 @@
 
     def begin(self, now, key, wishes):
         self.counter += 1
-        b = self.counter, self.me, self.process
+        b = self.counter, self.node_id, self.process
         changes = list(wishes)
         r = self.rounds[key] = Round(
             key,
@@ -316,13 +331,13 @@
         if len(msgpack.packb(r.value)) > SHORT:
             kind, told = "d", [r.base[0], difference(r.base[1], r.value)]
         for v in range(self.nodes):
-            if v != self.me:
+            if v != self.node_id:
                 news = [self.voter.epoch, self.members, accepted if v in r.members else {}]
                 self.send(v, [kind, r.key, r.ballot, *told, *news])
 
     def remember(self, now, accepted):
         """How far the others are: an older copy of a member's file then shows."""
-        news = [self.voter.remember(v, *x) for v, x in accepted.items() if v != self.me]
+        news = [self.voter.remember(v, *x) for v, x in accepted.items() if v != self.node_id]
         if any(news) and self.voter.phase == VOTING and self.news_at is None:
             # Together with what comes meanwhile: a write for each word would hold up the votes behind it.
             self.news_at = now + self.wait
@@ -332,14 +347,14 @@
             return
         self.learned[key] = b, value
         self.counter = max(self.counter, b[0])
-        if self.voter.phase == VOTING and self.me in self.members and self.voter.learn(key, b, value):
+        if self.voter.phase == VOTING and self.node_id in self.members and self.voter.learn(key, b, value):
             self.keep(now)
         if key == MEMBERS and value:
-            self.adopt(now, value["epoch"], value["voters"])
-        for follower in self.followers:
-            follower(now, key, value)
+            self.adopt_members(now, value["epoch"], value["voters"])
+        for listener in self.listeners:
+            listener(now, key, value)
 
-    def tell(self, now, to, key):
+    def send_chosen_value(self, now, to, key):
         """What is known here of a key, to a node that knows less."""
         if key in self.learned:
             b, value = self.learned[key]
@@ -351,16 +366,16 @@
             and not self.wishes.get(key)
         ):
             # Voted for here, and not known to be agreed on: after a restart of all nobody else would ask.
-            self.change(now, key, lambda value: (value, True), lambda now, result: None)
+            self.propose(now, key, lambda value: (value, True), lambda now, result: None)
 
-    def adopt(self, now, epoch, members):
+    def adopt_members(self, now, epoch, members):
         if not self.voter.adopt(epoch, members):
             return
         self.log("members", epoch=epoch, members=list(members))
-        if self.me in members and self.voter.phase == OUT:
+        if self.node_id in members and self.voter.phase == OUT:
             # New among them: like one that has forgotten, it hears all before it votes.
             self.lose(now, "new among the members")
-        elif self.me not in members and self.voter.phase != OUT:
+        elif self.node_id not in members and self.voter.phase != OUT:
             self.voter.phase = OUT
         if self.voter.phase == VOTING:
             self.keep(now)
@@ -381,15 +396,15 @@
                 return value, "refused: no voter would be left"
             return {"epoch": value["epoch"] + 1, "voters": voters, "settled": False}, "done"
 
-        self.change(now, MEMBERS, change, done)
+        self.propose(now, MEMBERS, change, done)
 
     def settle(self, now):
         """All values once more by the new members: only then do two changes' majorities still meet.
 
         Any voter does it, by turns, so that it is done though who asked for the change has died.
         """
-        value = self.value(MEMBERS)
-        if not value or value["settled"] or self.settling or not self.votes():
+        value = self.chosen_value(MEMBERS)
+        if not value or value["settled"] or self.settling or not self.is_voting():
             return
         self.settling, left, epoch = True, [k for k in self.keys if k != MEMBERS], value["epoch"]
 
@@ -397,9 +412,9 @@
             if result is None or self.voter.epoch != epoch:
                 self.settling = False
             elif left:
-                self.change(now, left.pop(), lambda value: (value, True), next_one)
+                self.propose(now, left.pop(), lambda value: (value, True), next_one)
             else:
-                self.change(now, MEMBERS, settled, lambda now, result: setattr(self, "settling", False))
+                self.propose(now, MEMBERS, settled, lambda now, result: setattr(self, "settling", False))
 
         def settled(value):
             return ({**value, "settled": True}, True) if value["epoch"] == epoch else (value, False)
@@ -408,11 +423,11 @@
 
     # What comes in.
 
-    def heard(self, now, by, message):
+    def receive(self, now, sender, message):
         kind, *rest = message
         if not isinstance(kind, str) or kind not in self.TAKE:
             return False
-        self.hear(self.TAKE[kind].__get__(self), now, by, rest)
+        self.handle_fields(self.TAKE[kind].__get__(self), now, sender, rest)
         return True
 
     def on_prepare(self, now, by, key, b, epoch, members):
@@ -432,13 +447,13 @@
             self.accepted(now, r, by, life(its_life), all_lives(lives), int(seq))
 
     def on_refused(self, now, by, key, b, why, promised, epoch, members):
-        self.adopt(now, int(epoch), [int(v) for v in members])
+        self.adopt_members(now, int(epoch), [int(v) for v in members])
         r = self.rounds.get(key)
         if r and r.ballot == ballot(b) and why in ("promised", "members"):
             self.fail(now, r, ballot(promised)[0])
 
     def on_learn(self, now, by, key, b, value, epoch, members, accepted):
-        self.adopt(now, int(epoch), [int(v) for v in members])
+        self.adopt_members(now, int(epoch), [int(v) for v in members])
         self.known(now, str(key), ballot(b), value)
         self.remember(now, {int(v): (life(x), int(seq)) for v, (x, seq) in accepted.items()})
 
@@ -453,7 +468,7 @@
             self.send(by, ["?", key])
 
     def on_asked(self, now, by, key):
-        self.tell(now, by, str(key))
+        self.send_chosen_value(now, by, str(key))
 
     def on_vote(self, now, by, its_life, seq):
         if by in self.members:
@@ -465,7 +480,7 @@
         self.send(by, ["W", voter.phase, voter.life, known, seen, voter.epoch, self.members])
 
     def on_told(self, now, by, phase, its_life, mine, seq, epoch, members):
-        self.adopt(now, int(epoch), [int(v) for v in members])
+        self.adopt_members(now, int(epoch), [int(v) for v in members])
         self.told[by] = str(phase), life(its_life), life(mine), int(seq)
         if self.recovering and newer(life(mine), self.recovering):
             self.recovering = None  # refused: another process has come back as that one
@@ -505,16 +520,7 @@
         "?": on_asked,
     }
 
-    def look(self, now):
-        """Nothing of this part ends by time alone."""
-
-    def listed(self, now, whole, rows):
-        """The list of executors is nothing to this part."""
-
-    def busy(self, now, names):
-        """Nor is what is open there."""
-
-    def called(self, now, call, method, path, body):
+    def operator_call(self, now, call, method, path, body):
         words = path.decode("latin-1").strip("/").split("/")[2:]
         if not words and method == b"GET":
             return self.answer_call(call, 200, self.state())
@@ -539,23 +545,23 @@
             "life": voter.life[0],
             "epoch": voter.epoch,
             "members": self.members,
-            "odd": self.odd,
+            "odd": self.undecodable_count,
             "disk_failures": self.failed,
         }
 
     # What goes out.
 
-    def decide(self, now):
-        if not self.out:
+    def next_action(self, now):
+        if not self.pending_actions:
             self.come_back(now)
             self.settle(now)
-            self.propose(now)
-        if (decision := self.pull(now)) is not None:
-            return decision
+            self.drive_rounds(now)
+        if (action := self.next_pending_action(now)) is not None:
+            return action
         due = self.dirty or self.news_at is not None and now >= self.news_at
         if due and self.writing is None and now >= self.pause:
             return self.write()
-        return self.wake(now, self.next_time(now))
+        return self.schedule_wake(now, self.next_time(now))
 
     def next_time(self, now):
         times = [r.until for r in self.rounds.values()]
--- a/grebedyke/consensus/framing.py
+++ b/grebedyke/consensus/framing.py
@@ -50,12 +50,12 @@
     >>> w, frames = Whole(mark("f")), pack(mark("f"), 7, ["l", b"x" * 3000])
     >>> [w.take(3, f) is not None for f in (frames[2], frames[0], frames[0], frames[1])]
     [False, False, False, True]
-    >>> w.take(3, pack(mark("g"), 8, ["l"])[0]), w.take(3, b"?"), w.odd
+    >>> w.take(3, pack(mark("g"), 8, ["l"])[0]), w.take(3, b"?"), w.undecodable_count
     (None, None, 2)
     """
 
     def __init__(self, fleet_mark):
-        self.mark, self.open, self.odd = fleet_mark, {}, 0
+        self.mark, self.open, self.undecodable_count = fleet_mark, {}, 0
 
     def take(self, by, data):
         """The message that this datagram makes whole, else None."""
@@ -83,4 +83,4 @@
         return message if isinstance(message, list) and message else self.nothing()
 
     def nothing(self):
-        self.odd += 1
+        self.undecodable_count += 1
--- a/grebedyke/maintenance/maintenance.py
+++ b/grebedyke/maintenance/maintenance.py
@@ -5,7 +5,7 @@
 
 from grebedyke import errors
 from grebedyke.consensus import records
-from grebedyke.consensus.acceptor import VOTING
+from grebedyke.consensus.actions import ExcludeEndpoints, PersistRecord
 from grebedyke.consensus.component import Component
 from grebedyke.errors import ConfigurationError
 from grebedyke.maintenance import plan as plans
@@ -32,9 +32,9 @@
     never.
     """
 
-    paths = (b"/v1/maintenance",)
-    files = (FILE,)
-    bans = True
+    call_paths = (b"/v1/maintenance",)
+    record_files = (FILE,)
+    controls_exclusions = True
 
     def __init__(
         self, agreement, fleet, me, nodes, process, lease, drift, grace, ramp, window, groups, alone
@@ -44,12 +44,12 @@
         self.lease, self.drift, self.grace, self.ramp = lease, drift, grace, ramp
         self.window, self.groups, self.alone = window, tuple(groups), alone
         agreement.keys.append(BOARD)
-        agreement.followers.append(self.learned)
+        agreement.listeners.append(self.learned)
         self.asks, self.number, self.next = {}, 0, 0
         # This node's view: the newest board known, the newest on its disk, and until when it is sure of it.
         self.board, self.kept_rev, self.writing, self.unwritten, self.until = None, -1, None, False, None
         self.paused, self.begun, self.trusted, self.shown = 0, None, False, None
-        self.rows, self.since, self.watching, self.open, self.leaving_since = (
+        self.rows, self.since, self.watched_endpoints, self.open, self.leaving_since = (
             {},
             {},
             frozenset(),
@@ -68,11 +68,11 @@
 
     # The start, the disk.
 
-    def recalled(self, now, stored):
+    def restore(self, now, stored_records):
         self.begun = self.next = now
-        if data := stored.get(FILE):
+        if data := stored_records.get(FILE):
             try:
-                self.board = records.content(self.fleet, self.me, data)["board"]
+                self.board = records.content(self.fleet, self.node_id, data)["board"]
                 self.kept_rev = rollout.rev(self.board)
             except (errors.CorruptRecordError, KeyError, TypeError, ValueError):
                 self.board = None
@@ -81,13 +81,15 @@
     def keep(self):
         self.number += 1
         self.unwritten, self.writing = False, (self.number, rollout.rev(self.board))
-        return "keep", FILE, self.number, records.record(self.fleet, self.me, {"board": self.board})
+        return PersistRecord(
+            FILE, self.number, records.record(self.fleet, self.node_id, {"board": self.board})
+        )
 
-    def kept(self, now, name, number, done):
-        if name != FILE or not self.writing or number != self.writing[0]:
+    def record_persisted(self, now, file, number, succeeded):
+        if file != FILE or not self.writing or number != self.writing[0]:
             return
         (_, rev), self.writing = self.writing, None
-        if done:
+        if succeeded:
             self.kept_rev = max(self.kept_rev, rev)
             self.next = now  # the others wait for that word
         else:
@@ -128,22 +130,24 @@
         names = frozenset(name for name in names if not name.startswith(plans.NODE))
         if (names, blind) != self.shown:
             self.shown = names, blind
-            self.out.append(("hands", names, blind))
-        self.watching = names
+            self.pending_actions.append(ExcludeEndpoints(names, blind))
+        self.watched_endpoints = names
         self.leaving_since = {name: self.leaving_since.get(name, now) for name in names}
 
-    def concerns(self):
+    def concerned_endpoints(self):
         """Executors that this part may have had out before."""
         return [*self.board["at"]] if self.board else []
 
-    def busy(self, now, names):
+    def open_attempts_reported(self, now, names):
         if frozenset(names) != self.open:
             self.open, self.next = frozenset(names), now
 
     def agreed(self, now):
         """Up to which rev this node has the board on its disk and sends nothing to who is out by it."""
         slow = [
-            name for name in self.open & self.watching if now < self.leaving_since.get(name, now) + self.grace
+            name
+            for name in self.open & self.watched_endpoints
+            if now < self.leaving_since.get(name, now) + self.grace
         ]
         # Also where the disk is behind the board: told without these, a forward reached a free machine.
         numbers = [self.board["at"][name][1] for name in slow if name in self.board["at"]]
@@ -165,47 +169,48 @@
         self.next = now + self.lease // 4
         self.number += 1
         rev = rollout.rev(self.board)
-        self.asks[self.number] = Ask(now, rev, self.agreement.voter.epoch)
+        self.asks[self.number] = Ask(now, rev, self.agreement.epoch)
         self.asks = {n: a for n, a in self.asks.items() if now < a.sent + self.lease}
         for v in self.agreement.members:
-            self.send(v, ["m", self.number, rev, self.agreed(now), self.process, self.agreement.voter.epoch])
+            self.send(v, ["m", self.number, rev, self.agreed(now), self.process, self.agreement.epoch])
 
     def asked(self, now, by, number, rev, agreed, process, epoch):
         """By a voter: granted only to who knows the newest board that this one may have voted for."""
-        voter = self.agreement.voter
+        consensus = self.agreement
         self.acks[by] = int(agreed), int(process), now
-        if voter.phase != VOTING or self.me not in voter.members:
+        if not consensus.is_voting():
             return
-        mine = voter.registers.get(BOARD)
-        newest = rollout.rev(mine[2]) if mine else 0
-        if epoch < voter.epoch or newest > rev:
-            self.agreement.tell(now, by, BOARD)
-        self.send(by, ["M", number, newest <= rev and epoch == voter.epoch, voter.epoch, voter.members])
+        newest = rollout.rev(consensus.accepted_value(BOARD))
+        if epoch < consensus.epoch or newest > rev:
+            self.agreement.send_chosen_value(now, by, BOARD)
+        self.send(
+            by, ["M", number, newest <= rev and epoch == consensus.epoch, consensus.epoch, consensus.members]
+        )
 
     def granted(self, now, by, number, yes, epoch, members):
-        self.agreement.adopt(now, int(epoch), [int(v) for v in members])
-        ask, voter = self.asks.get(number), self.agreement.voter
-        if not ask or not yes or ask.epoch != epoch or by not in voter.members:
+        self.agreement.adopt_members(now, int(epoch), [int(v) for v in members])
+        ask, consensus = self.asks.get(number), self.agreement
+        if not ask or not yes or ask.epoch != epoch or by not in consensus.members:
             return
         ask.by.add(by)
-        if len(ask.by & {*voter.members}) >= voter.quorum() and epoch == voter.epoch:
+        if len(ask.by & {*consensus.members}) >= consensus.quorum_size() and epoch == consensus.epoch:
             was = self.sure(now)
             self.until = max(self.until or 0, ask.sent + self.lease)
             if not was:
                 self.log("view", sure=True, rev=ask.rev)
             self.apply(now)
 
-    def heard(self, now, by, message):
+    def receive(self, now, sender, message):
         kind, *rest = message
         if kind not in ("m", "M"):
             return False
-        self.hear(self.asked if kind == "m" else self.granted, now, by, rest)
+        self.handle_fields(self.asked if kind == "m" else self.granted, now, sender, rest)
         return True
 
     # The list.
 
-    def listed(self, now, whole, rows):
-        if whole:
+    def endpoints_changed(self, now, complete, rows):
+        if complete:
             self.rows = {}
         for name, zone, kind, cell, state, since, weight in rows:
             if state == "gone":
@@ -227,13 +232,13 @@
 
     def drive(self, now):
         """By one of the voters, the first that was heard of late; two at once do no harm, only work."""
-        if not self.board or not self.board["plan"] or not self.agreement.votes() or self.driving:
+        if not self.board or not self.board["plan"] or not self.agreement.is_voting() or self.driving:
             return
         voters = self.agreement.members
         alive = [
-            v for v in voters if v == self.me or now < self.acks.get(v, (0, 0, LONG_AGO))[2] + self.lease
+            v for v in voters if v == self.node_id or now < self.acks.get(v, (0, 0, LONG_AGO))[2] + self.lease
         ]
-        if now < self.drove + self.lease // 20 or alive[0] != self.me:
+        if now < self.drove + self.lease // 20 or alive[0] != self.node_id:
             return
         self.drove, seen = now, self.evidence(now, alive)
         if rollout.step(self.board, seen) is self.board:
@@ -243,7 +248,7 @@
         def done(now, result):
             self.driving, self.drove = False, 0
 
-        self.agreement.change(
+        self.agreement.propose(
             now, BOARD, lambda value: (rollout.step(value, seen), True), done, 2 * self.lease
         )
 
@@ -322,7 +327,7 @@
 
     # Operators.
 
-    def called(self, now, call, method, path, body):
+    def operator_call(self, now, call, method, path, body):
         words = path.decode("latin-1").strip("/").split("/")[2:]
         if not words and method == b"GET":
             return self.answer_call(call, 200, self.state(now))
@@ -351,7 +356,7 @@
                 )
             self.answer_call(call, 409 if result.startswith("refused") else 200, result)
 
-        self.agreement.change(now, BOARD, change, done)
+        self.agreement.propose(now, BOARD, change, done)
 
     def state(self, now):
         """As this node knows it; `sure`: it was the newest so many milliseconds ago."""
@@ -374,7 +379,7 @@
 
     def waits_for(self):
         """Nodes that have not agreed to the newest numbers, as far as this voter has heard."""
-        if not self.board or not self.board["plan"] or not self.agreement.votes():
+        if not self.board or not self.board["plan"] or not self.agreement.is_voting():
             return []
         newest = max(
             (
@@ -392,7 +397,7 @@
 
     # What goes out.
 
-    def look(self, now):
+    def expire(self, now):
         """What has changed by time alone."""
         if self.until is not None and now >= self.until and self.shown and self.log_lost(now):
             self.apply(now)
@@ -412,20 +417,20 @@
             return True
         return False
 
-    def decide(self, now):
+    def next_action(self, now):
         if self.begun is None:
             return None
-        if not self.out:
-            self.look(now)
+        if not self.pending_actions:
+            self.expire(now)
             self.ask(now)
             self.drive(now)
-        if (decision := self.pull(now)) is not None:
-            return decision
+        if (action := self.next_pending_action(now)) is not None:
+            return action
         if self.unwritten and not self.writing and now >= self.paused:
             return self.keep()
         at = self.next
         if self.until:
             at = min(at, self.until)
-        if self.board and self.board["plan"] and self.agreement.votes():
+        if self.board and self.board["plan"] and self.agreement.is_voting():
             at = min(at, now + self.lease // 20)
-        return self.wake(now, at)
+        return self.schedule_wake(now, at)
--- a/grebedyke/rate_limits/component.py
+++ b/grebedyke/rate_limits/component.py
@@ -3,7 +3,6 @@
 Why the sum of all shares and floors never exceeds a limit, and the bounds: docs/limits.md.
 """
 
-from grebedyke.consensus.acceptor import VOTING
 from grebedyke.consensus.component import Component
 from grebedyke.rate_limits import definitions
 from grebedyke.rate_limits.allocation import Books
@@ -23,9 +22,9 @@
     death; `now`: when this process began.
     """
 
-    paths = (b"/v1/limits",)
-    files = ()
-    bans = False
+    call_paths = (b"/v1/limits",)
+    record_files = ()
+    controls_exclusions = False
 
     def __init__(self, agreement, me, nodes, process, limits, lease, drift, hold, now):
         super().__init__(me)
@@ -33,7 +32,7 @@
         self.lease, self.drift, self.hold, self.limits = lease, drift, hold, list(limits)
         self.mark = definitions.mark(self.limits)
         agreement.keys.append(HOLDER)
-        agreement.followers.append(self.learned)
+        agreement.listeners.append(self.learned)
         self.next, self.begun = 0, None
         # From the first moment on, by its floors: without it all would go through.
         self.gate = Gate(self.limits, nodes, drift, hold, lease, now)
@@ -46,7 +45,6 @@
         # As the holder.
         self.until, self.lease_asks, self.lease_next, self.open_at = 0, {}, 0, 0
         self.books, self.sizes = {}, {}
-        self.watching = ()
 
     # Bounds.
 
@@ -63,7 +61,7 @@
 
     # The start.
 
-    def recalled(self, now, stored):
+    def restore(self, now, stored_records):
         self.begun = self.next = self.heard_at = now
 
     def retune(self, now, limits):
@@ -77,7 +75,7 @@
 
     @property
     def value(self):
-        return self.agreement.value(HOLDER)
+        return self.agreement.chosen_value(HOLDER)
 
     def holds(self):
         return bool(self.value) and self.value["process"] == self.process
@@ -127,19 +125,19 @@
 
     def elect(self, now):
         """Whoever votes and has heard of no holder for long puts itself there; the first one first."""
-        if not self.agreement.votes() or self.proposing or self.holds():
+        if not self.agreement.is_voting() or self.proposing or self.holds():
             return
-        turn = self.agreement.members.index(self.me)
+        turn = self.agreement.members.index(self.node_id)
         if now < self.heard_at + (self.lease * (2 + turn) if self.value else self.lease * (turn + 1) // 4):
             return
         known, self.proposing = term_of(self.value), True
-        mine = {"term": known + 1, "node": self.me, "process": self.process}
+        mine = {"term": known + 1, "node": self.node_id, "process": self.process}
 
         def done(now, result):
             self.proposing, self.heard_at = False, now
 
         # Where another one has come first, that one stays.
-        self.agreement.change(
+        self.agreement.propose(
             now,
             HOLDER,
             lambda value: (mine, True) if term_of(value) == known else (value, False),
@@ -152,7 +150,7 @@
             return
         self.lease_next = now + self.lease // 4
         self.number += 1
-        epoch = self.agreement.voter.epoch
+        epoch = self.agreement.epoch
         self.lease_asks[self.number] = now, epoch, set()
         self.lease_asks = {n: ask for n, ask in self.lease_asks.items() if now < ask[0] + self.lease}
         # A holder that can send but hears no majority must not keep others from its place.
@@ -162,26 +160,25 @@
 
     def place_asked(self, now, by, number, term, sure, epoch):
         """By a voter: yes, as long as it has not accepted a later holder."""
-        voter = self.agreement.voter
-        if voter.phase != VOTING or self.me not in voter.members:
+        consensus = self.agreement
+        if not consensus.is_voting():
             return
-        register = voter.registers.get(HOLDER)
-        newest = term_of(register[2]) if register else 0
-        if newest > term or epoch < voter.epoch:
-            self.agreement.tell(now, by, HOLDER)
+        newest = term_of(consensus.accepted_value(HOLDER))
+        if newest > term or epoch < consensus.epoch:
+            self.agreement.send_chosen_value(now, by, HOLDER)
         elif sure:
             self.heard_at = now
-        yes = newest <= term and epoch == voter.epoch
-        self.send(by, ["T", number, yes, voter.epoch, voter.members])
+        yes = newest <= term and epoch == consensus.epoch
+        self.send(by, ["T", number, yes, consensus.epoch, consensus.members])
 
     def place_granted(self, now, by, number, yes, epoch, members):
-        self.agreement.adopt(now, int(epoch), [int(v) for v in members])
-        voter = self.agreement.voter
+        self.agreement.adopt_members(now, int(epoch), [int(v) for v in members])
+        consensus = self.agreement
         sent, its_epoch, by_whom = self.lease_asks.get(number, (0, None, set()))
-        if not yes or its_epoch != epoch or epoch != voter.epoch or not self.holds():
+        if not yes or its_epoch != epoch or epoch != consensus.epoch or not self.holds():
             return
         by_whom.add(by)
-        if len(by_whom & {*voter.members}) >= voter.quorum():
+        if len(by_whom & {*consensus.members}) >= consensus.quorum_size():
             self.until = max(self.until, sent + self.lease)
 
     # Shares.
@@ -215,7 +212,7 @@
 
     def asked(self, now, by, number, term, process, have, mark, wants, sizes):
         if term < term_of(self.value):
-            self.agreement.tell(now, by, HOLDER)
+            self.agreement.send_chosen_value(now, by, HOLDER)
         if not self.sure(now) or term != term_of(self.value):
             return
         key = int(by), int(process)
@@ -247,32 +244,18 @@
         """Grants of a former holder have run out before the next one's begin; none is taken after."""
         return term == term_of(self.value)
 
-    def heard(self, now, by, message):
+    def receive(self, now, sender, message):
         kind, *rest = message
         if kind not in ("s", "S", "t", "T"):
             return False
         takes = {"s": self.asked, "S": self.granted, "t": self.place_asked, "T": self.place_granted}
-        self.hear(takes[kind], now, by, rest)
+        self.handle_fields(takes[kind], now, sender, rest)
         return True
 
-    # What this part needs nothing of.
-
-    def kept(self, now, name, number, done):
-        """It keeps nothing: what was granted is waited out."""
-
-    def listed(self, now, whole, rows):
-        """Limits know no executors."""
-
-    def busy(self, now, names):
-        """Nor their forwards."""
-
-    def look(self, now):
-        """The gate looks at the time itself."""
-
     # Operators.
 
-    def called(self, now, call, method, path, body):
-        if method == b"GET" and path.rstrip(b"/") == self.paths[0]:
+    def operator_call(self, now, call, method, path, body):
+        if method == b"GET" and path.rstrip(b"/") == self.call_paths[0]:
             self.answer_call(call, 200, self.state(now))
         else:
             self.answer_call(call, 404, "no such call")
@@ -312,10 +295,10 @@
 
     # What goes out.
 
-    def decide(self, now):
+    def next_action(self, now):
         if self.begun is None:
             return None
-        if not self.out:
+        if not self.pending_actions:
             if self.gate.hungry and now >= self.hurried + self.lease // 8:
                 # Who has none and is asked for some does not wait for its next turn to ask.
                 self.hurried, self.next = now, now
@@ -323,6 +306,6 @@
             self.elect(now)
             self.keep_place(now)
             self.ask(now)
-        if (decision := self.pull(now)) is not None:
-            return decision
-        return self.wake(now, min(self.next, self.lease_next) if self.holds() else self.next)
+        if (action := self.next_pending_action(now)) is not None:
+            return action
+        return self.schedule_wake(now, min(self.next, self.lease_next) if self.holds() else self.next)
--- a/grebedyke/rig/broken.py
+++ b/grebedyke/rig/broken.py
@@ -7,6 +7,7 @@
 
 from grebedyke import errors
 from grebedyke.consensus import acceptor, consensus, records
+from grebedyke.consensus.actions import ExcludeEndpoints
 from grebedyke.consensus.component import Component
 from grebedyke.consensus.consensus import Consensus, Round
 from grebedyke.maintenance import maintenance as maintenance_part
@@ -30,18 +31,18 @@
 
 def any_board(self, now, by, number, rev, agreed, process, epoch):
     self.acks[by] = int(agreed), int(process), now
-    self.send(by, ["M", number, True, self.agreement.voter.epoch, self.agreement.voter.members])
+    self.send(by, ["M", number, True, self.agreement.epoch, self.agreement.members])
 
 
-def as_a_new_member(self, now, stored):
+def as_a_new_member(self, now, stored_records):
     """A file that is not there, or spoilt, is that of a new member."""
-    data = stored.get(consensus.FILE)
+    data = stored_records.get(consensus.FILE)
     try:
-        known = data is not None and records.content(self.fleet, self.me, data)
+        known = data is not None and records.content(self.fleet, self.node_id, data)
     except errors.CorruptRecordError:
         known = None
-    if known or self.me not in self.founders:
-        return honest["recalled"](self, now, stored)
+    if known or self.node_id not in self.founders:
+        return honest["restore"](self, now, stored_records)
     self.next, self.voter.phase, self.voter.life, self.voter.epoch = now, acceptor.VOTING, (1, 1), 1
     self.keep(now)
 
@@ -66,7 +67,7 @@
 honest = {
     "recover": acceptor.Acceptor.recover,
     "granted": Maintenance.granted,
-    "recalled": Consensus.recalled,
+    "restore": Consensus.restore,
     "by_word": rollout.by_word,
 }
 
@@ -76,7 +77,7 @@
     "a lease is reckoned from the answer": [(Maintenance, "granted", from_the_answer)],
     "no drift": [(Maintenance, "bound", lambda self: int(self.lease * (1 - 2 * self.drift)))],
     "numbers are not compared": [(rollout, "by_word", any_number)],
-    "a spoilt file is taken for a new member's": [(Consensus, "recalled", as_a_new_member)],
+    "a spoilt file is taken for a new member's": [(Consensus, "restore", as_a_new_member)],
     "back is taken for warm": [(Maintenance, "is_warm", lambda self, now, name, pair: True)],
     "losses without a plan are not counted": [(Maintenance, "away", lambda self, rows, board_: ({}, {}, 0))],
     "a lease is given to whoever asks": [(Maintenance, "asked", any_board)],
@@ -93,8 +94,8 @@
     names = frozenset(names)
     if (names, False) != self.shown:
         self.shown = names, False
-        self.out.append(("hands", names, False))
-    self.watching = names
+        self.pending_actions.append(ExcludeEndpoints(names, False))
+    self.watched_endpoints = names
     self.leaving_since = {name: self.leaving_since.get(name, now) for name in names}
 
 
--- a/grebedyke/rig/limited.py
+++ b/grebedyke/rig/limited.py
@@ -198,7 +198,7 @@
 class Alone:
     """Limits without a fleet: the gate alone."""
 
-    watching, files, out = (), (), ()
+    watched_endpoints, record_files = (), ()
     # Nothing here forgets.
     voter, writing, dirty = SimpleNamespace(phase="voting"), None, False
 
@@ -211,7 +211,8 @@
     def nothing(self, *args):
         """A part that has nothing to do."""
 
-    recalled = listed = heard = decide = busy = kept = look = nothing
+    restore = endpoints_changed = receive = next_action = nothing
+    open_attempts_reported = record_persisted = expire = nothing
 
 
 class Asked:
--- a/grebedyke/rig/simulated.py
+++ b/grebedyke/rig/simulated.py
@@ -135,7 +135,9 @@
                 "leastShare": 0.5,
                 "id": f"plan-{self.plans}",
             }
-            part.called(host.clock(), lambda status, text: None, b"POST", b"/v1/maintenance/plan", plan)
+            part.operator_call(
+                host.clock(), lambda status, text: None, b"POST", b"/v1/maintenance/plan", plan
+            )
         free = [row for row in told["machines"] if row["state"] == "free"]
         for i, row in enumerate((row for row in free if row["number"] not in self.worked), 1):
             # One after another, as the hands of a run's operators work.
@@ -145,7 +147,7 @@
         host.pull()
 
     def back(self, host, path):
-        host.parts[1].called(host.clock(), lambda status, text: None, b"POST", path, None)
+        host.parts[1].operator_call(host.clock(), lambda status, text: None, b"POST", path, None)
         host.pull()
 
 
@@ -186,7 +188,7 @@
     rows = []
     for host, (counts, took) in zip(world.hosts, start, strict=True):
         per = [(a - b) * TICKS_PER_SECOND / span for a, b in zip(host.counts, counts, strict=True)]
-        votes = "holder" if host.parts[-1].holds() else "voter" if host.parts[0].votes() else "other"
+        votes = "holder" if host.parts[-1].holds() else "voter" if host.parts[0].is_voting() else "other"
         objects, size = weighed(host)
         rows.append(
             {
--- a/grebedyke/rig/taps.py
+++ b/grebedyke/rig/taps.py
@@ -16,6 +16,7 @@
 
 import msgpack
 
+from grebedyke.consensus.actions import SendMessage
 from grebedyke.model import SeededRandom
 from grebedyke.rate_limits.definitions import OPEN
 from grebedyke.units import TICKS_PER_SECOND
@@ -63,8 +64,8 @@
             receive(data, address)
 
         def done(now, part, decision):
-            if decision[0] == "send":
-                kind = decision[2][0]
+            if isinstance(decision, SendMessage):
+                kind = decision.message[0]
                 self.kinds[kind] += 1
                 if kind == "s":
                     self.asked(now, part.lease)
@@ -73,8 +74,8 @@
         parts.send, peers.datagram_received, parts.do = out, received, done
         for name in TIMED:
             setattr(parts, name, self.timed(getattr(parts, name)))
-        self.agreement = next(part for part in parts.parts if hasattr(part, "followers"))
-        self.agreement.followers.append(self.learned)
+        self.agreement = next(part for part in parts.parts if hasattr(part, "listeners"))
+        self.agreement.listeners.append(self.learned)
 
     def asked(self, now, lease):
         """Of three asks in a row, without news of a holder in between, at most one is out of its turn: by the
@@ -119,7 +120,7 @@
             return "down"
         if any(part.holds() for part in self.parts.parts if hasattr(part, "holds")):
             return "holder"
-        return "voter" if self.agreement.votes() else "other"
+        return "voter" if self.agreement.is_voting() else "other"
 
 
 class Seen:
--- a/grebedyke/rig/world.py
+++ b/grebedyke/rig/world.py
@@ -10,6 +10,13 @@
 
 import msgpack
 
+from grebedyke.consensus.actions import (
+    AnswerCall,
+    ExcludeEndpoints,
+    PersistRecord,
+    SendMessage,
+    WakeAt,
+)
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.maintenance.maintenance import Maintenance
 from grebedyke.model import SeededRandom
@@ -71,7 +78,7 @@
         self.offset = w.random.randrange(10**9)
         self.parts = w.parts_for(self)
         for part in self.parts:
-            part.recalled(self.clock(), {name: self.disk.files.get(name) for name in part.files})
+            part.restore(self.clock(), {name: self.disk.files.get(name) for name in part.record_files})
         self.told_list()
         self.pull()
 
@@ -81,7 +88,7 @@
             for e in self.world.executors
         ]
         for part in self.parts:
-            part.listed(self.clock(), True, [row for row in rows if row[4] == "healthy"])
+            part.endpoints_changed(self.clock(), True, [row for row in rows if row[4] == "healthy"])
 
     def end(self):
         self.disk.crash()
@@ -92,7 +99,7 @@
             self.mail.append((by, message))  # a stopped process wakes to a full socket
         elif self.alive:
             for part in self.parts:
-                if part.heard(self.clock(), by, message):
+                if part.receive(self.clock(), by, message):
                     break
             self.pull()
 
@@ -110,36 +117,35 @@
             return
         now = self.clock()
         for part in self.parts:
-            if part.watching:
-                part.busy(now, [n for n in part.watching if self.open[n]])
+            if part.watched_endpoints:
+                part.open_attempts_reported(now, [n for n in part.watched_endpoints if self.open[n]])
         again = True
         while again:
             again = False
             for part in self.parts:
-                while (decision := part.decide(now)) is not None:
+                while (action := part.next_action(now)) is not None:
                     again = True
-                    self.do(now, part, *decision)
+                    self.do(now, part, action)
         self.world.voted(self)
 
-    def do(self, now, part, kind, *rest):
+    def do(self, now, part, action):
         w = self.world
-        if kind == "send":
-            w.carry(self.me, *rest)
-        elif kind == "keep":
-            name, number, data = rest
+        if isinstance(action, SendMessage):
+            w.carry(self.me, action.node, action.message)
+        elif isinstance(action, PersistRecord):
             wait = (
                 w.random.randrange(2 * TICKS_PER_SECOND, 5 * TICKS_PER_SECOND)
                 if self.disk.slow
                 else w.random.randrange(5, 100)
             )
-            w.later(wait, self.written, self.life, part, name, number, data)
-        elif kind == "wake":
-            self.ring(rest[0])
-        elif kind == "hands":
-            self.names, self.blind = rest
-        elif kind == "answer":
-            call, status, text = rest
-            call(status, text)
+            w.later(wait, self.written, self.life, part, *action)
+        elif isinstance(action, WakeAt):
+            self.ring(action.at)
+        elif isinstance(action, ExcludeEndpoints):
+            self.names = action.names
+            self.blind = action.all_others
+        elif isinstance(action, AnswerCall):
+            action.call(action.status, action.body)
 
     def ring(self, at):
         wait = max(int((at - self.clock()) / self.rate) + 1, 1)
@@ -162,7 +168,7 @@
             self.disk.write(name, data)
         else:
             self.world.done["disk failed"] += 1
-        part.kept(self.clock(), name, number, done)
+        part.record_persisted(self.clock(), name, number, done)
         self.pull()
 
     def whole(self):
@@ -174,10 +180,9 @@
         """Whether it may send there: asked at the last moment, as the host on sockets does."""
         now = self.clock()
         for part in self.parts:
-            part.look(now)
-            for decision in [x for x in part.out if x[0] == "hands"]:
-                part.out.remove(decision)
-                self.do(now, part, *decision)
+            part.expire(now)
+            for action in part.take_exclusions():
+                self.do(now, part, action)
         return not self.blind and name not in self.names
 
 
@@ -222,7 +227,7 @@
         maintenance = Maintenance(
             agreement, "f", me, self.count, host.life, LEASE, self.drift, GRACE, RAMP, WINDOW, ("zone",), None
         )
-        agreement.followers.append(lambda now, key, value: self.learned(me, key, value))
+        agreement.listeners.append(lambda now, key, value: self.learned(me, key, value))
         return [agreement, maintenance]
 
     def later(self, wait, call, *args):
@@ -379,7 +384,7 @@
                 self.done["calls"] += 1
 
         self.later(6 * TICKS_PER_SECOND, lambda: host.life != life and answered(503, "died"))
-        host.parts[1].called(host.clock(), answered, b"POST", path, body)
+        host.parts[1].operator_call(host.clock(), answered, b"POST", path, body)
         host.pull()
 
     def settled(self):
--- a/grebedyke/service/parts.py
+++ b/grebedyke/service/parts.py
@@ -1,6 +1,6 @@
 """Hosts the fleet's parts in the node's turn: what they say becomes messages, files, bans and answers.
 
-The seam is described in grebedyke/consensus/__init__.py. Nothing here knows a part by name.
+The interface is described in grebedyke/consensus/component.py. Nothing here knows a part by name.
 """
 
 from concurrent.futures import ThreadPoolExecutor
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from grebedyke import errors
-from grebedyke.consensus import framing
+from grebedyke.consensus import actions, framing
 from grebedyke.errors import ConfigurationError
 from grebedyke.units import TICKS_PER_SECOND
 
@@ -46,7 +46,7 @@
         """Raises ConfigurationError where the folder is another node's or cannot be used."""
         if not inherited:
             # Until this node knows what is out it uses nothing; who takes over has the other process's bans.
-            self.hands = {part: (frozenset(), True) for part in self.parts if part.bans}
+            self.hands = {part: (frozenset(), True) for part in self.parts if part.controls_exclusions}
         self.open(self.turn.clock())
 
     def open(self, now):
@@ -58,16 +58,18 @@
                     )
                 self.waiting = True
                 return self.turn.at(now + AGAIN, self.open)
-            stored = {name: self.files.read(name) for part in self.parts for name in part.files}
+            stored = {name: self.files.read(name) for part in self.parts for name in part.record_files}
         except OSError as problem:
             raise ConfigurationError(f"setting fleet.folder cannot be used: {problem.strerror}") from None
         try:
             for part in self.parts:
-                part.recalled(now, stored)
+                part.restore(now, stored)
         except errors.ForeignRecordError as problem:
             raise ConfigurationError(f"setting fleet.folder is not this node's: {problem}") from None
         # Bans that came along from the process before: a part's own end by its word.
-        known = {name for part in self.parts if part.bans for name in part.concerns()}
+        known = {
+            name for part in self.parts if part.controls_exclusions for name in part.concerned_endpoints()
+        }
         self.now_out |= known & {*self.banned()}
         self.operators |= {*self.banned()} - known - self.now_out
         self.begun = True
@@ -81,8 +83,8 @@
             self.deliver(now, by, message)
 
     def deliver(self, now, by, message):
-        if not any(part.heard(now, by, message) for part in self.parts):
-            self.whole.odd += 1  # a later build's kind: left alone
+        if not any(part.receive(now, by, message) for part in self.parts):
+            self.whole.undecodable_count += 1  # a later build's kind: left alone
 
     def listed(self, now, whole, rows):
         rows = [
@@ -90,15 +92,15 @@
             for name, _, zone, kind, cell, state, since, weight in rows
         ]
         for part in self.parts:
-            part.listed(now, whole, rows)
+            part.endpoints_changed(now, whole, rows)
         self.rule(now)
 
     def kept(self, now, part, name, number, done):
-        part.kept(now, name, number, done)
+        part.record_persisted(now, name, number, done)
 
     def called(self, caller, method, path, body):
         """Whether the call is one of a part's; it is answered by a decision of that part."""
-        part = next((p for p in self.parts if path.startswith(tuple(p.paths))), None)
+        part = next((p for p in self.parts if path.startswith(p.call_paths)), None)
         if part is None:
             return False
         if not self.begun:
@@ -112,7 +114,7 @@
         if said is not None and not isinstance(said, dict):
             caller.answer(400, "the call is not a JSON object")
             return True
-        self.turn.put(part.called, caller, method, path, said)
+        self.turn.put(part.operator_call, caller, method, path, said)
         return True
 
     def operator(self, now, name, out):
@@ -129,15 +131,14 @@
         if not self.begun:
             return None
         for part in self.parts:
-            if part.watching:
-                part.busy(now, self.names_open(part.watching))
-            if (decision := part.decide(now)) is not None:
+            if part.watched_endpoints:
+                part.open_attempts_reported(now, self.names_open(part.watched_endpoints))
+            if (decision := part.next_action(now)) is not None:
                 return part, decision
         return None
 
     def do(self, now, part, decision):
-        kind, *rest = decision
-        getattr(self, "do_" + kind)(now, part, *rest)
+        self.DO[type(decision)](self, now, part, *decision)
 
     def do_send(self, now, part, to, message):
         self.number += 1
@@ -185,9 +186,8 @@
     def last_look(self, now):
         """Right before a turn's messages are written: it may have been stopped since the turn began."""
         for part in self.parts if self.begun else ():
-            part.look(now)
-            for decision in [x for x in part.out if x[0] == "hands"]:
-                part.out.remove(decision)
+            part.expire(now)
+            for decision in part.take_exclusions():
                 self.do(now, part, decision)
 
     def do_answer(self, now, part, caller, status, told):
@@ -198,6 +198,15 @@
         words = " ".join(f"{key}={value}" for key, value in fields.items())
         logger.bind(event=event, **fields).info("fleet: {} {}", event, words)
 
+    DO = {
+        actions.SendMessage: do_send,
+        actions.PersistRecord: do_keep,
+        actions.WakeAt: do_wake,
+        actions.ExcludeEndpoints: do_hands,
+        actions.AnswerCall: do_answer,
+        actions.LogEvent: do_log,
+    }
+
     def close(self):
         self.disk.shutdown(wait=False, cancel_futures=True)
         self.files.close()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,6 +9,7 @@
 from helpers import dispatcher, pull, rows
 
 from grebedyke.commands.main import cli
+from grebedyke.consensus.actions import SendMessage
 from grebedyke.errors import ConfigurationError
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
@@ -56,27 +57,27 @@
     """One node's part, its holder named by `value`."""
     agreement = SimpleNamespace(
         keys=[],
-        followers=[],
+        listeners=[],
         members=[0],
-        value=lambda key: value,
-        votes=lambda: False,
-        voter=SimpleNamespace(epoch=1),
+        chosen_value=lambda key: value,
+        is_voting=lambda: False,
+        epoch=1,
     )
     one = RateLimits(agreement, 1, 4, process, limits, 10_000, drift, 5_000, 0)
-    one.recalled(0, {})
+    one.restore(0, {})
     return one
 
 
 def asked(one, now):
-    while (decision := one.decide(now)) is not None:
-        if decision[0] == "send" and decision[2][0] == "s":
-            return decision[2][1]
+    while (action := one.next_action(now)) is not None:
+        if isinstance(action, SendMessage) and action.message[0] == "s":
+            return action.message[1]
 
 
 def lease_ends_by_the_ask():
     one = part(value={"term": 3, "node": 0, "process": 9})
     number, id = asked(one, 100), one.limits[0].id()
-    one.heard(8_000, 0, ["S", number, 3, False, [[id, 4_000]]])
+    one.receive(8_000, 0, ["S", number, 3, False, [[id, 4_000]]])
     meter = one.gate.meters[id]
     return meter.held(10_099) == 4_000 and meter.held(10_100) == 0
 
@@ -122,10 +123,10 @@
     answers = []
     for now, until in ((50_000, 60_000), (50_000, 40_000)):
         one.until = until
-        one.out.clear()
-        one.heard(now, 2, ["s", 1, 3, 9, 0, 0, [[id, 5_000, 0]], []])
-        answers.append([d for d in one.out if d[0] == "send" and d[2][0] == "S"])
-    return len(answers[0]) == 1 and answers[0][0][2][4] == [[id, 10_000]] and not answers[1]
+        one.pending_actions.clear()
+        one.receive(now, 2, ["s", 1, 3, 9, 0, 0, [[id, 5_000, 0]], []])
+        answers.append([a for a in one.pending_actions if isinstance(a, SendMessage) and a.message[0] == "S"])
+    return len(answers[0]) == 1 and answers[0][0].message[4] == [[id, 10_000]] and not answers[1]
 
 
 BY_HAND = {
@@ -152,7 +153,7 @@
     first = asked(one, 100)
     second = asked(one, 4_000)
     meter = one.gate.meters[id]
-    one.heard(4_100, 0, ["S", second, 3, False, [[id, 2_000]]])
+    one.receive(4_100, 0, ["S", second, 3, False, [[id, 2_000]]])
     for odd in (
         ["S", first, 3, False, [[id, 9_000]]],
         ["S", second, 3, False, [[id, 9_000]]],
@@ -164,12 +165,12 @@
         ["t"],
         ["T", None, 1, 2, 3],
     ):
-        one.heard(4_200, 0, odd)
-    assert meter.held(4_300) == 2_000 and one.odd == 4
+        one.receive(4_200, 0, odd)
+    assert meter.held(4_300) == 2_000 and one.undecodable_count == 4
     # What a later build adds is left alone; an old share tells its age, long after its ask is forgotten.
     third = asked(one, 8_000)
-    one.heard(8_100, 0, ["S", third, 3, False, [[id, 3_000]], "more"])
-    assert meter.held(8_200) == 3_000 and one.odd == 4
+    one.receive(8_100, 0, ["S", third, 3, False, [[id, 3_000]], "more"])
+    assert meter.held(8_200) == 3_000 and one.undecodable_count == 4
     asked(one, 90_000)
     assert one.state(100_000)["asked_ms_ago"] == 9_200
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,6 +8,7 @@
 
 from grebedyke import errors
 from grebedyke.consensus.acceptor import CHECKING, FORGOTTEN, FOUNDING, VOTING
+from grebedyke.consensus.actions import PersistRecord, SendMessage
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.maintenance import rollout
 from grebedyke.maintenance.maintenance import Maintenance
@@ -78,17 +79,16 @@
     def begin(self, i, process=None):
         self.told.append(process)
         node = Consensus(SeededRandom(i), "f", i, 3, [0, 1, 2], process or 100 + len(self.told), 500)
-        node.recalled(0, dict(self.disks[i]) or {"votes": None})
+        node.restore(0, dict(self.disks[i]) or {"votes": None})
         return node
 
     def pull(self, now, i, disk=True):
-        while (decision := self.nodes[i].decide(now)) is not None:
-            kind, *rest = decision
-            if kind == "send":
-                self.mail.append((i, *rest))
-            elif kind == "keep" and disk:
-                self.disks[i][rest[0]] = rest[2]
-                self.nodes[i].kept(now, rest[0], rest[1], True)
+        while (action := self.nodes[i].next_action(now)) is not None:
+            if isinstance(action, SendMessage):
+                self.mail.append((i, *action))
+            elif isinstance(action, PersistRecord) and disk:
+                self.disks[i][action.file] = action.data
+                self.nodes[i].record_persisted(now, action.file, action.number, True)
 
     def go(self, now, until=lambda: False, through=lambda by, to, message: True, nodes=(0, 1, 2)):
         for now in range(now, now + 40_000, 100):
@@ -97,7 +97,7 @@
             mail, self.mail = self.mail, []
             for by, to, message in mail:
                 if to in nodes and through(by, to, message):
-                    self.nodes[to].heard(now, by, message)
+                    self.nodes[to].receive(now, by, message)
             if until():
                 return now
         return now
@@ -111,7 +111,7 @@
 
 def agree(fleet, now, node, value, through=lambda by, to, message: True, nodes=(0, 1, 2)):
     results = []
-    fleet.nodes[node].change(now, "k", lambda old: (value, True), lambda now, result: results.append(result))
+    fleet.nodes[node].propose(now, "k", lambda old: (value, True), lambda now, result: results.append(result))
     now = fleet.go(now, lambda: results, through, nodes)
     return now, results
 
@@ -134,10 +134,10 @@
     # A member killed between two writes was taken for an older copy of itself: it had told the later number.
     fleet, now = founded()
     node, others = fleet.nodes[1], []
-    node.heard(now, 0, ["p", "k", [50, 0, 9], 1, [0, 1, 2]])
+    node.receive(now, 0, ["p", "k", [50, 0, 9], 1, [0, 1, 2]])
     fleet.pull(now, 1, disk=False)
-    node.heard(now, 0, ["p", "k", [51, 0, 9], 1, [0, 1, 2]])  # while the first one's write is under way
-    node.kept(now, "votes", node.number, True)
+    node.receive(now, 0, ["p", "k", [51, 0, 9], 1, [0, 1, 2]])  # while the first one's write is under way
+    node.record_persisted(now, "votes", node.number, True)
     fleet.pull(now, 1, disk=False)
     others = [message for by, _, message in fleet.mail if by == 1 and message[0] == "h"]
     assert others and all(seq == node.voter.seq - 1 for _, _, seq in others)
@@ -174,7 +174,7 @@
     fleet, now = founded()
     long = {"rev": 1, "plan": {str(i): "x" * 20 for i in range(50)}}
     now, _ = agree(fleet, now, 0, long)
-    now = fleet.go(now, lambda: all(n.value("k") == long for n in fleet.nodes))
+    now = fleet.go(now, lambda: all(n.chosen_value("k") == long for n in fleet.nodes))
     sent = []
 
     def counted(by, to, message):
@@ -182,7 +182,7 @@
         return True
 
     now, _ = agree(fleet, now, 0, {**long, "rev": 2}, counted)
-    now = fleet.go(now, lambda: all(n.value("k")["rev"] == 2 for n in fleet.nodes), counted)
+    now = fleet.go(now, lambda: all(n.chosen_value("k")["rev"] == 2 for n in fleet.nodes), counted)
     assert {m[0] for m in sent if m[0] in "ld?"} == {"d"}
     # One that was cut off lacks what the next change was made of.
     now, _ = agree(fleet, now, 0, {**long, "rev": 3}, lambda by, to, m: to != 2)
@@ -194,8 +194,8 @@
         {**long, "rev": 4},
         lambda by, to, m: (counted(by, to, m) and not (to == 2 and m[0] in "pa")),
     )
-    now = fleet.go(now, lambda: fleet.nodes[2].value("k")["rev"] == 4, counted)
-    assert fleet.nodes[2].value("k") == {**long, "rev": 4} and any(m[0] == "?" for m in sent)
+    now = fleet.go(now, lambda: fleet.nodes[2].chosen_value("k")["rev"] == 4, counted)
+    assert fleet.nodes[2].chosen_value("k") == {**long, "rev": 4} and any(m[0] == "?" for m in sent)
 
 
 def test_a_file_that_is_spoilt_older_or_another_nodes():
@@ -211,7 +211,7 @@
         now = fleet.go(now, lambda: phases.append(fleet.nodes[2].voter.phase) or phases[-1] == VOTING)
         assert FORGOTTEN in phases and phases[-1] == VOTING, disk
     with pytest.raises(errors.ForeignRecordError):
-        Consensus(SeededRandom(0), "g", 2, 3, [0, 1, 2], 5, 500).recalled(0, {"votes": spoilt})
+        Consensus(SeededRandom(0), "g", 2, 3, [0, 1, 2], 5, 500).restore(0, {"votes": spoilt})
 
 
 def test_two_that_have_forgotten_are_no_majority():
@@ -231,7 +231,7 @@
     for name in (None, "votes of past lives count"):
         fleet, now = founded()
         done, node = [], fleet.nodes[0]
-        node.change(now, "k", lambda old: ({"v": 1}, True), lambda now, result: done.append(result))
+        node.propose(now, "k", lambda old: ({"v": 1}, True), lambda now, result: done.append(result))
         while "k" not in node.rounds or node.rounds["k"].phase == "p":
             now = fleet.go(now, lambda: True, lambda by, to, message: message[0] != "a") + 100
         r, past = node.rounds["k"], fleet.nodes[1].voter.life
@@ -247,7 +247,7 @@
     agreement = Consensus(SeededRandom(1), "f", 0, 1, [0], 9, 500)
     part = Maintenance(agreement, "f", 0, 1, 9, 10_000, 0.02, 5_000, 10_000, 0, (), None)
     agreement.voter.adopt(1, [0])
-    part.recalled(0, {})
+    part.restore(0, {})
     part.ask(0)
     part.granted(granted_at, 0, part.number, True, 1, [0])
     return part.until
@@ -285,7 +285,7 @@
     w.run(20_000)
     agreements = [h.parts[0] for h in w.hosts]
     told = []
-    agreements[4].change(
+    agreements[4].propose(
         w.hosts[4].clock(),
         "board",
         lambda value: (rollout.empty(), True),
@@ -294,7 +294,7 @@
     w.hosts[4].pull()
     w.run(40_000)
     for node, add in ((3, True), (0, False), (4, True)):
-        w.hosts[1].parts[0].called(
+        w.hosts[1].parts[0].operator_call(
             w.hosts[1].clock(),
             lambda *told_: told.append(told_),
             b"POST",
@@ -306,7 +306,7 @@
     assert told == [True, (200, "done"), (200, "done"), (200, "done")]
     assert [a.members for a in agreements] == [[1, 2, 3, 4]] * 5
     assert [a.voter.phase for a in agreements] == ["out", VOTING, VOTING, VOTING, VOTING]
-    assert all(a.value("members")["settled"] for a in agreements)
+    assert all(a.chosen_value("members")["settled"] for a in agreements)
     assert agreements[4].voter.registers["board"][2] == rollout.empty()
 
 
@@ -314,18 +314,16 @@
     # Simulated round 303578: it told what its disk had, whatever was open, when a newer board had just come.
     at = {"e4": ["leaving", 18, 0], "e5": ["leaving", 20, 0]}
     plan = {"id": "p", "machines": {}, "without": []}
-    agreement = SimpleNamespace(
-        keys=[], followers=[], members=[], votes=lambda: False, voter=SimpleNamespace(epoch=1)
-    )
+    agreement = SimpleNamespace(keys=[], listeners=[], members=[], is_voting=lambda: False, epoch=1)
     part = Maintenance(agreement, "f", 0, 3, 1, 10_000, 0.02, 5_000, 10_000, 0, (), None)
     part.board, part.kept_rev = {"rev": 20, "plan": plan, "state": "open", "at": at, "past": []}, 18
     part.apply(0)
-    part.busy(10, ["e4"])
+    part.open_attempts_reported(10, ["e4"])
     assert part.agreed(20) == 17 and part.agreed(5_000) == 18
     part.kept_rev = 20
-    part.busy(30, ["e4", "e5"])
+    part.open_attempts_reported(30, ["e4", "e5"])
     assert part.agreed(40) == 17
-    part.busy(50, ["e5"])
+    part.open_attempts_reported(50, ["e5"])
     assert part.agreed(60) == 19
 
 
@@ -333,11 +331,11 @@
     # Simulated rounds 201147 and 201191: what a change rested on was old when its stopped proposer went on.
     fleet, now = founded()
     node, seen = fleet.nodes[0], []
-    node.change(now, "k", lambda old: (seen.append(old) or {"v": 1}, True), lambda now, result: None)
+    node.propose(now, "k", lambda old: (seen.append(old) or {"v": 1}, True), lambda now, result: None)
     fleet.pull(now, 0)
     first = node.rounds["k"]
     for by in (1, 2):
-        node.heard(first.until, by, ["P", "k", first.ballot, [1, 101 + by], {}, [0, 0, 0], None])
+        node.receive(first.until, by, ["P", "k", first.ballot, [1, 101 + by], {}, [0, 0, 0], None])
     assert not seen and first.phase == "p"
     assert agree(fleet, now, 0, {"v": 2})[1] == [True] and seen
 
@@ -346,18 +344,18 @@
     # Each try began anew with the same time: on a disk with slow syncs none came about.
     fleet, now = founded()
     results, late = [], []
-    fleet.nodes[0].change(now, "k", lambda old: ({"v": 1}, True), lambda now, result: results.append(result))
+    fleet.nodes[0].propose(now, "k", lambda old: ({"v": 1}, True), lambda now, result: results.append(result))
     for now in range(now, now + 40_000, 100):
         for i, node in enumerate(fleet.nodes):
             for at, number in [x[1:] for x in late if x[0] == i and x[1] <= now]:
-                node.kept(now, "votes", number, True)
+                node.record_persisted(now, "votes", number, True)
             late = [x for x in late if not (x[0] == i and x[1] <= now)]
-            while (decision := node.decide(now)) is not None:
-                if decision[0] == "send":
-                    fleet.mail.append((i, *decision[1:]))
-                elif decision[0] == "keep":
-                    late.append((i, now + 600, decision[2]))
+            while (action := node.next_action(now)) is not None:
+                if isinstance(action, SendMessage):
+                    fleet.mail.append((i, *action))
+                elif isinstance(action, PersistRecord):
+                    late.append((i, now + 600, action.number))
         mail, fleet.mail = fleet.mail, []
         for by, to, message in mail:
-            fleet.nodes[to].heard(now, by, message)
+            fleet.nodes[to].receive(now, by, message)
     assert results == [True] and fleet.nodes[0].patience > 0
