--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -30,21 +30,22 @@
 if __name__ == "__main__":
     sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from grebedyke.agreement import frames, keeping
-from grebedyke.agreement.part import Agreement
+from grebedyke import errors
 from grebedyke.checks import checked
-from grebedyke.ledger import Chance
-from grebedyke.maintenance.part import Maintenance
+from grebedyke.consensus import framing, records
+from grebedyke.consensus.consensus import Consensus
+from grebedyke.maintenance.maintenance import Maintenance
+from grebedyke.model import SeededRandom
 from grebedyke.rig import limited, world
 from grebedyke.service import configuration
 from grebedyke.service.assembly import assemble
 from grebedyke.service.configuration.reading import NODE
 from grebedyke.service.handover import Channel
+from grebedyke.units import TICKS_PER_SECOND
 from grebedyke.wire import words
 from grebedyke.wire.discovery import entries
 
 GOLDEN = Path(__file__).parent / "data" / "golden"
-SECOND = 10_000  # the program's times are tenths of a millisecond
 
 
 # Everything that depends on names inside the package.
@@ -73,32 +74,32 @@
 
 
 def pack_frames(fleet, number, message):
-    return frames.pack(frames.mark(fleet), number, message)
+    return framing.pack(framing.mark(fleet), number, message)
 
 
 def read_frames(fleet, sender, datagrams):
     """The messages that the datagrams make whole, and how many of these were not understood."""
-    whole = frames.Whole(frames.mark(fleet))
+    whole = framing.Whole(framing.mark(fleet))
     messages = [whole.take(sender, datagram) for datagram in datagrams]
     return [message for message in messages if message is not None], whole.odd
 
 
 def pack_record(fleet, node, content):
-    return keeping.record(fleet, node, content)
+    return records.record(fleet, node, content)
 
 
 def read_record(fleet, node, data):
-    return keeping.content(fleet, node, data)
+    return records.content(fleet, node, data)
 
 
 def refuses_record(fleet, node, data):
-    with pytest.raises((keeping.Spoilt, keeping.Foreign)):
-        keeping.content(fleet, node, data)
+    with pytest.raises((errors.CorruptRecordError, errors.ForeignRecordError)):
+        records.content(fleet, node, data)
     return True
 
 
 def agreement_part(node, voters, nodes, process):
-    return Agreement(Chance("compatibility"), "f", node, nodes, voters, process, SECOND // 20)
+    return Consensus(SeededRandom("compatibility"), "f", node, nodes, voters, process, TICKS_PER_SECOND // 20)
 
 
 def vote_recalled(node, nodes, data):
@@ -115,7 +116,18 @@
     """What a node says after a start from its view: its state, the banned machines, and its file again."""
     agreement = agreement_part(node, [0, 1, 2], nodes, 1_000)
     part = Maintenance(
-        agreement, "f", node, nodes, 1_000, SECOND, 0.02, SECOND // 2, SECOND, SECOND, ("zone",), None
+        agreement,
+        "f",
+        node,
+        nodes,
+        1_000,
+        TICKS_PER_SECOND,
+        0.02,
+        TICKS_PER_SECOND // 2,
+        TICKS_PER_SECOND,
+        TICKS_PER_SECOND,
+        ("zone",),
+        None,
     )
     part.recalled(0, {"view": data})
     banned = sorted(next(decision[1] for decision in part.out if decision[0] == "hands"))
@@ -167,22 +179,22 @@
     fleet, told = make_world(7, faults=0), {}
     fleet.open()
     fleet.later(1, fleet.operate)
-    fleet.run(3 * SECOND)
+    fleet.run(3 * TICKS_PER_SECOND)
     fleet.call(b"/v1/maintenance/plan", MAINTENANCE_PLAN)
-    fleet.run(5 * SECOND)
+    fleet.run(5 * TICKS_PER_SECOND)
     for seconds, change in ((8, b"remove/2"), (11, b"add/3"), (14, b"add/2")):
         operators_call(fleet, 0, b"POST", b"/v1/agreement/" + change)
-        fleet.run(seconds * SECOND)
+        fleet.run(seconds * TICKS_PER_SECOND)
         for path in (b"/v1/maintenance", b"/v1/agreement"):
             for node in (0, 2, 3):
                 told[f"{seconds} s, node {node}, {path.decode()}"] = operators_call(
                     fleet, node, b"GET", path
                 )[0]
-    fleet.run(20 * SECOND)
+    fleet.run(20 * TICKS_PER_SECOND)
     # Proposers that know older members, or newer ones: the two refusals that no drawn round shows.
     for node, epoch, members in ((0, 0, [0, 1, 2]), (1, 99, [0, 2])):
         fleet.hosts[node].heard(2, ["p", "board", [1_000, 2, 77], epoch, members])
-    fleet.run(21 * SECOND)
+    fleet.run(21 * TICKS_PER_SECOND)
     return told
 
 
@@ -213,10 +225,10 @@
         dispatcher, now = self.node.desk.dispatcher, self.NOW
         for i, operation in enumerate(["op", "safe", "op", "safe"]):
             id = b"r%d" % i
-            dispatcher.taken(now + i * SECOND, id, operation, "t", now + 90_000, 0, 1)
-            self.decisions(now + i * SECOND)
-            dispatcher.ended(now + i * SECOND + 5, id, 0, "no connection", False, None)
-            self.decisions(now + i * SECOND + 5)
+            dispatcher.taken(now + i * TICKS_PER_SECOND, id, operation, "t", now + 90_000, 0, 1)
+            self.decisions(now + i * TICKS_PER_SECOND)
+            dispatcher.ended(now + i * TICKS_PER_SECOND + 5, id, 0, "no connection", False, None)
+            self.decisions(now + i * TICKS_PER_SECOND + 5)
         self.node.desk.by_hand(now, "s-2", True)
 
     def decisions(self, now):
