--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -39,7 +39,7 @@
 
 # As the program has them without further word: fleet.waitMs, maintenance.leaseMs, shares.leaseMs.
 WAIT, LEASE = TICKS_PER_SECOND // 5, 2 * TICKS_PER_SECOND
-MARK = framing.mark("fleet")
+MARK = framing.fleet_tag("fleet")
 # Looking at that clock takes longer than many a call.
 LOOK = median(-thread_time() + thread_time() for _ in range(999))
 NOT_STATE = ModuleType, type, FunctionType, BuiltinFunctionType, SeededRandom
@@ -51,7 +51,10 @@
 
 def unit():
     """Seconds of CPU for the stated piece of work: a thousand asks for 34 limits, framed and read."""
-    ask, whole = ["s", 7, 1, 99, 6, 5, [[100 * i, 1_000 * i, i] for i in range(34)], []], framing.Whole(MARK)
+    ask, whole = (
+        ["s", 7, 1, 99, 6, 5, [[100 * i, 1_000 * i, i] for i in range(34)], []],
+        framing.Reassembler(MARK),
+    )
     took = []
     for _ in range(5):
         start = thread_time()
@@ -138,7 +141,7 @@
         self.lease, self.many, self.maintenance = lease, limits, maintenance
         self.wanted, self.full = limits if wanted is None else min(wanted, limits), full
         super().__init__(seed, nodes=nodes, voters=5, executors=executors, faults=0)
-        self.wholes = [framing.Whole(MARK) for _ in range(nodes)]
+        self.wholes = [framing.Reassembler(MARK) for _ in range(nodes)]
         self.spent, self.number = [[0.0] for _ in range(nodes)], 0
         self.counts, self.regions, self.by_second = Counter(), None, None
         for host in self.hosts:
--- a/grebedyke/consensus/acceptor.py
+++ b/grebedyke/consensus/acceptor.py
@@ -1,172 +1,255 @@
-"""One member's vote: what it has promised and accepted, and what it remembers of the other members. No I/O.
+"""A member's vote: what it has promised and accepted, and what it remembers of the other members.
 
 Single-value registers without a log (CASPaxos, Rystsov 2018), one for each key. A member that has forgotten
-counts again only as another life of its own: each vote says which lives of the others the voter knows, and
-who counts a majority leaves out a vote of a life that another of them knows to be past (the crash vectors of
-Michael et al., "Recovering Shared Objects Without Stable Storage", DISC 2017).
+counts again only under a new incarnation: each vote says which incarnations of the others the voter knows,
+and whoever counts a majority leaves out a vote of an incarnation that another voter knows to be past (the
+crash vectors of Michael et al., "Recovering Shared Objects Without Stable Storage", DISC 2017).
 """
 
-NONE = (0, 0, 0)  # under all ballots: (counter, node, the proposing process's own number)
-# Where a member stands. Only `voting` votes. blank: it has just begun; founding: the first start of all;
-# checking: its file is whole, the others are asked if it is the newest; forgotten: it is not, or is gone.
-OUT, FOUNDING, CHECKING, FORGOTTEN, VOTING = "out", "founding", "checking", "forgotten", "voting"
+from enum import StrEnum
+from typing import NamedTuple
 
+from grebedyke.consensus import messages
+from grebedyke.consensus.ballots import EMPTY_REGISTER, NO_BALLOT, NO_INCARNATION, Register, supersedes
+from grebedyke.consensus.voting_messages import RefusalReason
 
-def ballot(value):
-    """A ballot as it came over the net."""
-    counter, node, process = value
-    return int(counter), int(node), int(process)
 
+class Phase(StrEnum):
+    """Where a member stands; only a voting member votes. On disk, on the wire and in the log as they are."""
 
-def life(value):
-    """A life: (number, a mark that no other process has)."""
-    number, mark = value
-    return int(number), int(mark)
+    OUT = "out"
+    """It is no member."""
+    FOUNDING = "founding"
+    """The first start of all members."""
+    CHECKING = "checking"
+    """Its record is intact; the others are asked whether it is the newest."""
+    FORGOTTEN = "forgotten"
+    """Its record is lost, corrupt or an older copy."""
+    VOTING = "voting"
 
 
-def newer(a, b):
-    """Whether remembering life `a` shows that `b` is of the past: a higher number, or another of the same."""
-    return a[0] > b[0] or a[0] == b[0] and a[1] != b[1]
+class Answer(NamedTuple):
+    """An acceptor's answer to a message.
 
+    Attributes:
+        message: What is sent back.
+        needs_persisting: Whether the acceptor's state must be on disk before it is sent.
+    """
+
+    message: NamedTuple
+    needs_persisting: bool
+
+
+def consistent_votes(votes, quorum_size):
+    """Returns the votes that count together, None where they are no quorum.
 
-def agreeing(votes, quorum):
-    """The votes that count together, by voter, if they are enough: (life, others' lives known to it, ...).
+    A vote does not count if another voter knows its incarnation to be past: its member has forgotten it.
 
-    A vote whose life another voter knows to be past is of a member that has forgotten it since.
+    Args:
+        votes: By voter, its `Promise` or `Accepted`.
+        quorum_size: How many votes are enough.
 
-    >>> agreeing({1: ((1, 5), {2: (1, 6)}), 2: ((1, 6), {1: (2, 7)})}, 2)
-    >>> sorted(agreeing({1: ((2, 7), {}), 2: ((1, 6), {1: (2, 7)})}, 2))
+    >>> from grebedyke.consensus.ballots import Incarnation
+    >>> def vote(incarnation, others):
+    ...     return messages.Accepted("key", NO_BALLOT, incarnation, others, 0)
+    >>> first = vote(Incarnation(1, 5), {2: Incarnation(1, 6)})
+    >>> first_again = vote(Incarnation(2, 7), {})
+    >>> second = vote(Incarnation(1, 6), {1: Incarnation(2, 7)})
+    >>> consistent_votes({1: first, 2: second}, 2)
+    >>> sorted(consistent_votes({1: first_again, 2: second}, 2))
     [1, 2]
     """
-    standing = {
-        v: vote
-        for v, vote in votes.items()
-        if not any(newer(other[1].get(v, (0, 0)), vote[0]) for other in votes.values())
-    }
-    return standing if len(standing) >= quorum else None
+
+    def is_past(voter, vote):
+        return any(
+            supersedes(other.incarnations.get(voter, NO_INCARNATION), vote.incarnation)
+            for other in votes.values()
+        )
+
+    current = {voter: vote for voter, vote in votes.items() if not is_past(voter, vote)}
+    return current if len(current) >= quorum_size else None
 
 
 class Acceptor:
-    def __init__(self, me, mark):
-        self.me, self.mark, self.phase = me, mark, OUT
-        # seq: grows with each vote; others remember it, so that an older copy of the file shows.
-        self.life, self.seq = (0, 0), 0
-        self.lives, self.seqs = {}, {}  # of the other members, by node
-        self.epoch, self.members = 0, []
-        self.registers = {}  # key -> [promised, accepted, value]
-
-    def quorum(self):
+    """The state that a member votes by, all of it kept in one record.
+
+    Attributes:
+        node_id: This node's number.
+        phase: Where this member stands.
+        incarnation: The member's own.
+        vote_count: Grows with each vote. The others remember it, so that an older copy of the record shows.
+        incarnations: Those of the other members, by node.
+        vote_counts: Those of the other members, by node.
+        epoch: Number of the newest set of members that is known; 0 before the founding.
+        members: That set, the voters.
+        registers: By key, what was promised and accepted.
+    """
+
+    def __init__(self, node_id, founders):
+        self.node_id = node_id
+        self.phase = Phase.OUT
+        self.incarnation = NO_INCARNATION
+        self.vote_count = 0
+        self.incarnations = {}
+        self.vote_counts = {}
+        self.epoch = 0
+        self.members = list(founders)
+        self.registers = {}
+
+    def quorum_size(self):
+        """Returns how many members are a majority."""
         return len(self.members) // 2 + 1
 
-    # What is kept.
-
-    def kept_form(self):
-        return {
-            "phase": self.phase,
-            "life": self.life,
-            "seq": self.seq,
-            "epoch": self.epoch,
-            "members": self.members,
-            "lives": self.lives,
-            "seqs": self.seqs,
-            "registers": self.registers,
-        }
-
-    def recall(self, kept):
-        """Goes on where the file says; whether that is the newest the others have to tell."""
-        self.life, self.seq = life(kept["life"]), kept["seq"]
-        self.epoch, self.members = kept["epoch"], list(kept["members"])
-        self.lives = {v: life(x) for v, x in kept["lives"].items()}
-        self.seqs = dict(kept["seqs"])
-        self.registers = {
-            key: [ballot(p), ballot(a), value] for key, (p, a, value) in kept["registers"].items()
-        }
-        self.phase = FOUNDING if kept["phase"] == FOUNDING else CHECKING
+    def other_members(self):
+        """Returns all members but this one."""
+        return [node for node in self.members if node != self.node_id]
+
+    def is_voting(self):
+        """Returns whether this node is a member that may vote."""
+        return self.phase == Phase.VOTING and self.node_id in self.members
+
+    def register(self, key):
+        """Returns what was promised and accepted for a key."""
+        return self.registers.setdefault(key, EMPTY_REGISTER)
 
     # Members.
 
-    def adopt(self, epoch, members):
-        """Members that were agreed on; True where that is news."""
+    def adopt_members(self, epoch, members):
+        """Takes over members that were agreed on; returns whether they are news."""
         if epoch <= self.epoch:
             return False
-        self.epoch, self.members = epoch, list(members)
+        self.epoch = epoch
+        self.members = list(members)
         return True
 
-    def remember(self, node, its_life, seq=0):
-        """True where that changes what would be answered of that member."""
-        known = self.lives.get(node, (0, 0))
-        if its_life[0] > known[0]:
-            self.lives[node], self.seqs[node] = its_life, seq
+    def remember(self, node, incarnation, vote_count=0):
+        """Notes how far another member is; returns whether that is news."""
+        known = self.incarnations.get(node, NO_INCARNATION)
+        if incarnation.number > known.number:
+            self.incarnations[node] = incarnation
+            self.vote_counts[node] = vote_count
             return True
-        if its_life == known and seq > self.seqs.get(node, 0):
-            self.seqs[node] = seq
+        if incarnation == known and vote_count > self.vote_counts.get(node, 0):
+            self.vote_counts[node] = vote_count
             return True
         return False
 
-    # Votes. Each gives (message, whether it has to be kept before it is sent).
-
-    def prepare(self, key, b, epoch, members):
-        if refused := self.refuse(key, b, epoch, members):
-            return refused, False
-        register = self.registers.setdefault(key, [NONE, NONE, None])
-        if b < register[0]:
-            return ["n", key, b, "promised", register[0], self.epoch, self.members], False
-        if b > register[0]:
-            register[0], self.seq = b, self.seq + 1
-        return ["P", key, b, self.life, dict(self.lives), register[1], register[2]], True
-
-    def accept(self, key, b, value, epoch, members):
-        if refused := self.refuse(key, b, epoch, members):
-            return refused, False
-        register = self.registers.setdefault(key, [NONE, NONE, None])
-        if b < register[0]:
-            return ["n", key, b, "promised", register[0], self.epoch, self.members], False
-        if b > register[1]:
-            register[:], self.seq = [b, b, value], self.seq + 1
-        return ["A", key, b, self.life, dict(self.lives), self.seq], True
-
-    def refuse(self, key, b, epoch, members):
-        if self.phase != VOTING:
-            return ["n", key, b, "no vote", NONE, self.epoch, self.members]
-        if epoch < self.epoch:
-            return ["n", key, b, "members", NONE, self.epoch, self.members]
-        self.adopt(epoch, members)
-        return None if self.me in self.members else ["n", key, b, "no member", NONE, self.epoch, self.members]
-
-    def learn(self, key, b, value):
-        """A value that was agreed on; True where it is news here. A promise of a later ballot stands."""
-        register = self.registers.setdefault(key, [NONE, NONE, None])
-        if b <= register[1]:
+    # Votes.
+
+    def prepare(self, request):
+        """Answers a `Prepare` by a promise or a refusal."""
+        refusal = self._refuse(request)
+        if refusal:
+            return refusal
+        register = self.register(request.key)
+        if request.ballot < register.promised:
+            return self._refusal(request, RefusalReason.PROMISED, register.promised)
+        if request.ballot > register.promised:
+            self.registers[request.key] = register._replace(promised=request.ballot)
+            self.vote_count += 1
+        promise = messages.Promise(
+            request.key,
+            request.ballot,
+            self.incarnation,
+            dict(self.incarnations),
+            register.accepted,
+            register.value,
+        )
+        return Answer(promise, needs_persisting=True)
+
+    def accept(self, request):
+        """Answers an `AcceptRequest` by accepting or refusing it."""
+        refusal = self._refuse(request)
+        if refusal:
+            return refusal
+        register = self.register(request.key)
+        if request.ballot < register.promised:
+            return self._refusal(request, RefusalReason.PROMISED, register.promised)
+        if request.ballot > register.accepted:
+            self.registers[request.key] = Register(request.ballot, request.ballot, request.value)
+            self.vote_count += 1
+        accepted = messages.Accepted(
+            request.key, request.ballot, self.incarnation, dict(self.incarnations), self.vote_count
+        )
+        return Answer(accepted, needs_persisting=True)
+
+    def _refuse(self, request):
+        """Returns the refusal of a proposer whose ballot does not matter, else None."""
+        if self.phase != Phase.VOTING:
+            return self._refusal(request, RefusalReason.NOT_VOTING)
+        if request.epoch < self.epoch:
+            return self._refusal(request, RefusalReason.OLD_EPOCH)
+        self.adopt_members(request.epoch, request.members)
+        if self.node_id not in self.members:
+            return self._refusal(request, RefusalReason.NOT_A_MEMBER)
+        return None
+
+    def _refusal(self, request, reason, promised=NO_BALLOT):
+        refusal = messages.Refusal(request.key, request.ballot, reason, promised, self.epoch, self.members)
+        return Answer(refusal, needs_persisting=False)
+
+    def learn(self, key, ballot, value):
+        """Takes over a chosen value; returns whether it is news. A promise of a later ballot stands."""
+        register = self.register(key)
+        if ballot <= register.accepted:
             return False
-        register[:] = [max(register[0], b), b, value]
+        self.registers[key] = Register(max(register.promised, ballot), ballot, value)
         return True
 
-    # Coming back.
-
-    def recover(self, by, its_life):
-        """A member that has forgotten asks to be let in as that life: all that is known here, or why not."""
-        known = self.lives.get(by, (0, 0))
-        if self.phase != VOTING or newer(known, its_life):
-            return ["W", self.phase, self.life, known, self.seqs.get(by, 0), self.epoch, self.members], False
-        self.remember(by, its_life)
-        known = [self.lives, self.epoch, self.members, self.registers, self.seq, self.seqs]
-        return ["R", its_life, self.life, *known], True
+    # Rejoining.
+
+    def status(self, node):
+        """Returns where this member stands, and what it remembers of `node`."""
+        return messages.Status(
+            self.phase,
+            self.incarnation,
+            self.incarnations.get(node, NO_INCARNATION),
+            self.vote_counts.get(node, 0),
+            self.epoch,
+            self.members,
+        )
+
+    def admit(self, node, incarnation):
+        """Answers a member that asks to rejoin: all that is known here, or the reason why not."""
+        known = self.incarnations.get(node, NO_INCARNATION)
+        if self.phase != Phase.VOTING or supersedes(known, incarnation):
+            return Answer(self.status(node), needs_persisting=False)
+        self.remember(node, incarnation)
+        state = messages.RejoinState(
+            incarnation,
+            self.incarnation,
+            self.incarnations,
+            self.epoch,
+            self.members,
+            self.registers,
+            self.vote_count,
+            self.vote_counts,
+        )
+        return Answer(state, needs_persisting=True)
 
     def merge(self, states):
-        """Out of what a majority of the others told: at least what this member had promised and accepted.
+        """Takes over what a majority of the other members knows, a `RejoinState` by node.
 
-        Source of the argument: docs/agreement.md.
+        That is at least what this member had promised and accepted; the argument is in docs/agreement.md.
         """
         self.registers = {}
-        for its_life, lives, epoch, members, registers, seq, seqs, by in states:
-            # How far they are too: an older copy of one of them must not show to nobody for this one's loss.
-            self.remember(by, its_life, seq)
-            for v, x in lives.items():
-                if v != self.me:
-                    self.remember(v, x, seqs.get(v, 0))
-            self.adopt(epoch, members)
-            for key, (promised, accepted, value) in registers.items():
-                mine = self.registers.setdefault(key, [NONE, NONE, None])
-                mine[0] = max(mine[0], promised, accepted)
-                if accepted > mine[1]:
-                    mine[1], mine[2] = accepted, value
+        for sender, state in states.items():
+            self._merge_members(sender, state)
+            for key, register in state.registers.items():
+                self._merge_register(key, register)
+
+    def _merge_members(self, sender, state):
+        # The vote counts too: where two members forget one after the other, an older copy of the one's record
+        # would pass for the newest as the other no longer knew its count.
+        self.remember(sender, state.incarnation, state.vote_count)
+        for node, incarnation in state.incarnations.items():
+            if node != self.node_id:
+                self.remember(node, incarnation, state.vote_counts.get(node, 0))
+        self.adopt_members(state.epoch, state.members)
+
+    def _merge_register(self, key, other):
+        own = self.register(key)
+        own = own._replace(promised=max(own.promised, other.promised, other.accepted))
+        if other.accepted > own.accepted:
+            own = own._replace(accepted=other.accepted, value=other.value)
+        self.registers[key] = own
--- a/grebedyke/consensus/component.py
+++ b/grebedyke/consensus/component.py
@@ -147,12 +147,12 @@
             self.pending_actions.remove(action)
         return exclusions
 
-    def schedule_wake(self, now, at):
-        """Returns a `WakeAt` unless one is set for as early; None also where `at` is None."""
-        if at is None:
+    def schedule_wake(self, now, time):
+        """Returns a `WakeAt` unless one is set for as early; None also where `time` is None."""
+        if time is None:
             return None
-        at = max(at, now + SHORTEST_WAIT)
-        if self.next_wake_at is not None and now < self.next_wake_at <= at:
+        time = max(time, now + SHORTEST_WAIT)
+        if self.next_wake_at is not None and now < self.next_wake_at <= time:
             return None
-        self.next_wake_at = at
-        return WakeAt(at)
+        self.next_wake_at = time
+        return WakeAt(time)
--- a/grebedyke/consensus/framing.py
+++ b/grebedyke/consensus/framing.py
@@ -1,86 +1,148 @@
-"""A message as datagrams of 1,200 bytes at most, and back. No I/O.
+"""Framing: a message as datagrams of at most 1,200 bytes, and back.
 
-Each datagram says which build, fleet and message it is of; what is not of this fleet, spoilt or of another
-build is nothing.
+Each datagram says which protocol version, fleet and message it belongs to; what is of another version or
+fleet, or corrupt, is dropped and counted.
 """
 
 from collections import OrderedDict
 from hashlib import blake2s
 from struct import Struct
+from typing import NamedTuple
 from zlib import crc32
 
 import msgpack
 
-# Words between nodes (wire/words.py) begin with 1; a datagram that begins otherwise is not theirs.
 VERSION = 2
-HEAD = Struct("<B4sIIBB")  # version, fleet, checksum of the rest, message, which piece, how many
-LARGEST = 1_200
-PIECE = LARGEST - HEAD.size
-# A board of some hundred machines; more would be a message that no loss lets through.
-MOST_PIECES, MOST_OPEN = 64, 16
+"""A datagram's first byte. Gossip between nodes (`wire/words.py`) begins with 1."""
+LARGEST_DATAGRAM = 1_200
+"""In bytes."""
+MAX_FRAGMENTS = 64
+"""Of one message, enough for a plan of some hundred machines; a longer one would not get through any loss."""
+MAX_INCOMPLETE = 16
+"""Incomplete messages kept of one sender; beyond that the missing fragments of the oldest are lost."""
+
+HEADER = Struct("<B4sIIBB")
+"""Version, fleet tag, checksum of the rest, message number, fragment index, fragment count."""
+FRAGMENT_SIZE = LARGEST_DATAGRAM - HEADER.size
+CHECKED_HEADER = Struct("<IBB")
+"""Of the header, what the checksum covers: message number, fragment index, fragment count."""
+
+
+class Fragment(NamedTuple):
+    """A datagram that was read.
+
+    Attributes:
+        number: The message's number, which tells the messages of one sender apart.
+        index: Which fragment of the message it is.
+        count: How many the message has.
+        payload: Its part of the message.
+    """
+
+    number: int
+    index: int
+    count: int
+    payload: bytes
 
 
-def mark(fleet):
-    """Four bytes that stand for a fleet's name."""
+def fleet_tag(fleet):
+    """Returns the four bytes that stand for a fleet's name."""
     return blake2s(fleet.encode(), digest_size=4).digest()
 
 
-def pack(fleet_mark, number, message):
-    """The datagrams of one message; `number` tells this sender's messages apart.
+def pack(tag, number, message):
+    """Returns the datagrams of a message.
+
+    Args:
+        tag: The fleet's, see `fleet_tag`.
+        number: Tells this sender's messages apart.
+        message: What msgpack can pack.
+
+    Raises:
+        ValueError: The message is too long.
 
-    >>> frames = pack(mark("f"), 7, ["l", "board", b"x" * 3000])
-    >>> [len(f) for f in frames], Whole(mark("f")).take(0, frames[0]) is None
-    ([1200, 1200, 657], True)
+    >>> datagrams = pack(fleet_tag("f"), 7, ["l", "board", b"x" * 3000])
+    >>> [len(datagram) for datagram in datagrams]
+    [1200, 1200, 657]
+    >>> Reassembler(fleet_tag("f")).take(0, datagrams[0]) is None
+    True
     """
     data = msgpack.packb(message)
-    pieces = [data[i : i + PIECE] for i in range(0, len(data), PIECE)] or [b""]
-    if len(pieces) > MOST_PIECES:
+    payloads = [data[start : start + FRAGMENT_SIZE] for start in range(0, len(data), FRAGMENT_SIZE)] or [b""]
+    if len(payloads) > MAX_FRAGMENTS:
         raise ValueError(f"a message of {len(data)} bytes is too long")
-    return [frame(fleet_mark, number % 2**32, i, len(pieces), piece) for i, piece in enumerate(pieces)]
+    return [
+        _pack_fragment(tag, Fragment(number % 2**32, index, len(payloads), payload))
+        for index, payload in enumerate(payloads)
+    ]
 
 
-def frame(fleet_mark, number, i, count, piece):
-    check = crc32(Struct("<IBB").pack(number, i, count) + piece)
-    return HEAD.pack(VERSION, fleet_mark, check, number, i, count) + piece
+def _pack_fragment(tag, fragment):
+    number, index, count, payload = fragment
+    return HEADER.pack(VERSION, tag, _checksum(fragment), number, index, count) + payload
 
 
-class Whole:
-    """Puts messages together again; bounded, whatever comes.
+def _checksum(fragment):
+    return crc32(CHECKED_HEADER.pack(fragment.number, fragment.index, fragment.count) + fragment.payload)
 
-    >>> w, frames = Whole(mark("f")), pack(mark("f"), 7, ["l", b"x" * 3000])
-    >>> [w.take(3, f) is not None for f in (frames[2], frames[0], frames[0], frames[1])]
+
+class Reassembler:
+    """Puts messages together again; what it keeps is bounded, whatever comes.
+
+    Attributes:
+        tag: The fleet's, see `fleet_tag`.
+        incomplete: By sender and message number, the payloads received so far by index.
+        undecodable_count: How many datagrams and messages could not be read.
+
+    >>> reassembler, datagrams = Reassembler(fleet_tag("f")), pack(fleet_tag("f"), 7, ["l", b"x" * 3000])
+    >>> [reassembler.take(3, datagrams[index]) is not None for index in (2, 0, 0, 1)]
     [False, False, False, True]
-    >>> w.take(3, pack(mark("g"), 8, ["l"])[0]), w.take(3, b"?"), w.undecodable_count
-    (None, None, 2)
+    >>> reassembler.take(3, pack(fleet_tag("g"), 8, ["l"])[0]), reassembler.take(3, b"?")
+    (None, None)
+    >>> reassembler.undecodable_count
+    2
     """
 
-    def __init__(self, fleet_mark):
-        self.mark, self.open, self.undecodable_count = fleet_mark, {}, 0
-
-    def take(self, by, data):
-        """The message that this datagram makes whole, else None."""
-        if len(data) < HEAD.size or len(data) > LARGEST:
-            return self.nothing()
-        version, fleet, check, number, i, count = HEAD.unpack_from(data)
-        piece = data[HEAD.size :]
-        whole = version == VERSION and fleet == self.mark and i < count <= MOST_PIECES
-        if not whole or check != crc32(Struct("<IBB").pack(number, i, count) + piece):
-            return self.nothing()
-        if count > 1:
-            parts = self.open.setdefault(by, OrderedDict())
-            have = parts.setdefault(number, {})
-            have[i] = piece
-            if len(parts) > MOST_OPEN:
-                parts.popitem(last=False)  # its other pieces are lost
-            if len(have) < count:
-                return None
-            parts.pop(number, None)
-            piece = b"".join(have[k] for k in range(count))
+    def __init__(self, tag):
+        self.tag = tag
+        self.incomplete = {}
+        self.undecodable_count = 0
+
+    def take(self, sender, datagram):
+        """Returns the message that a datagram completes, else None."""
+        fragment = self._read(datagram)
+        if fragment is None:
+            self.undecodable_count += 1
+            return None
+        data = fragment.payload if fragment.count == 1 else self._join(sender, fragment)
+        if data is None:
+            return None
         try:
-            message = msgpack.unpackb(piece, strict_map_key=False)
+            message = msgpack.unpackb(data, strict_map_key=False)
         except (ValueError, msgpack.UnpackException):
-            return self.nothing()
-        return message if isinstance(message, list) and message else self.nothing()
-
-    def nothing(self):
-        self.undecodable_count += 1
+            message = None
+        if not isinstance(message, list) or not message:
+            self.undecodable_count += 1
+            return None
+        return message
+
+    def _read(self, datagram):
+        """Returns the fragment in a datagram, None where it is none of this fleet."""
+        if not HEADER.size <= len(datagram) <= LARGEST_DATAGRAM:
+            return None
+        version, tag, checksum, number, index, count = HEADER.unpack_from(datagram)
+        fragment = Fragment(number, index, count, datagram[HEADER.size :])
+        if version != VERSION or tag != self.tag or not index < count <= MAX_FRAGMENTS:
+            return None
+        return fragment if checksum == _checksum(fragment) else None
+
+    def _join(self, sender, fragment):
+        """Returns the message's bytes once all fragments are there, else None."""
+        of_sender = self.incomplete.setdefault(sender, OrderedDict())
+        payloads = of_sender.setdefault(fragment.number, {})
+        payloads[fragment.index] = fragment.payload
+        if len(of_sender) > MAX_INCOMPLETE:
+            of_sender.popitem(last=False)
+        if len(payloads) < fragment.count:
+            return None
+        of_sender.pop(fragment.number, None)
+        return b"".join(payloads[index] for index in range(fragment.count))
--- /dev/null
+++ b/grebedyke/consensus/messages.py
@@ -0,0 +1,38 @@
+"""The messages of consensus: one class a kind, decoded once when they come in and encoded when they go out.
+
+On the wire a message is a list of its kind and its fields in the order of the class. A later build may add
+fields at the end; they are left alone. What the fields are for is explained in docs/agreement.md.
+"""
+
+from grebedyke.consensus.recovery_messages import RejoinRequest, RejoinState, Status, StatusQuery
+from grebedyke.consensus.value_messages import ChosenDelta, ChosenValue, ValueQuery, VoteCount
+from grebedyke.consensus.voting_messages import Accepted, AcceptRequest, Prepare, Promise, Refusal
+
+MESSAGES = {
+    message.kind: message
+    for message in (
+        Prepare,
+        Promise,
+        AcceptRequest,
+        Accepted,
+        Refusal,
+        VoteCount,
+        ChosenValue,
+        ChosenDelta,
+        ValueQuery,
+        StatusQuery,
+        Status,
+        RejoinRequest,
+        RejoinState,
+    )
+}
+"""The class of each kind on the wire."""
+
+
+def encode(message):
+    """Returns the wire form of a message.
+
+    >>> encode(ValueQuery("board"))
+    ['?', 'board']
+    """
+    return [message.kind, *message]
--- a/grebedyke/consensus/records.py
+++ b/grebedyke/consensus/records.py
@@ -1,4 +1,4 @@
-"""Records as they lie on a disk: whose they are, a checksum, the content. No I/O."""
+"""Records on disk: a header, a checksum, and the content with whose it is."""
 
 from hashlib import blake2b
 
@@ -6,29 +6,42 @@
 
 from grebedyke.errors import CorruptRecordError, ForeignRecordError
 
-MARK = b"grebedyke 1\n"
-SUM = 16
+HEADER = b"grebedyke 1\n"
+CHECKSUM_SIZE = 16
 
 
-def record(fleet, node, content):
-    """
-    >>> data = record("f", 3, {"life": 2})
-    >>> content("f", 3, data)
+def encode(fleet, node, content):
+    """Returns the bytes of a record.
+
+    >>> data = encode("f", 3, {"life": 2})
+    >>> decode("f", 3, data)
     {'life': 2}
-    >>> content("f", 3, data[:-1])
+    >>> decode("f", 3, data[:-1])
     Traceback (most recent call last):
     grebedyke.errors.CorruptRecordError: its checksum is wrong
     """
     body = msgpack.packb([fleet, node, content])
-    return MARK + blake2b(body, digest_size=SUM).digest() + body
+    return HEADER + _checksum(body) + body
+
 
+def decode(fleet, node, data):
+    """Returns the content of a record.
 
-def content(fleet, node, data):
-    """What was kept, or CorruptRecordError or ForeignRecordError."""
-    head = len(MARK) + SUM
-    if data[: len(MARK)] != MARK or blake2b(data[head:], digest_size=SUM).digest() != data[len(MARK) : head]:
+    Raises:
+        CorruptRecordError: The bytes are not those that were written.
+        ForeignRecordError: The record is another node's or another fleet's.
+    """
+    body_start = len(HEADER) + CHECKSUM_SIZE
+    header = data[: len(HEADER)]
+    checksum = data[len(HEADER) : body_start]
+    body = data[body_start:]
+    if header != HEADER or _checksum(body) != checksum:
         raise CorruptRecordError("its checksum is wrong")
-    its_fleet, its_node, kept = msgpack.unpackb(data[head:], strict_map_key=False)
-    if (its_fleet, its_node) != (fleet, node):
-        raise ForeignRecordError(f"it is of node {its_node} of fleet {its_fleet}")
-    return kept
+    record_fleet, record_node, content = msgpack.unpackb(body, strict_map_key=False)
+    if (record_fleet, record_node) != (fleet, node):
+        raise ForeignRecordError(f"it is of node {record_node} of fleet {record_fleet}")
+    return content
+
+
+def _checksum(body):
+    return blake2b(body, digest_size=CHECKSUM_SIZE).digest()
--- a/grebedyke/consensus/settings.py
+++ b/grebedyke/consensus/settings.py
@@ -1,4 +1,4 @@
-"""What the configuration says of the fleet's agreement, and its checks."""
+"""The section `fleet` of a node's configuration, and its checks."""
 
 from voluptuous import All, Length, Optional, Required
 
@@ -7,15 +7,16 @@
 
 SECTION = table(
     {
-        # Words of another fleet on the same addresses are nothing; files of another are refused.
+        # Messages of another fleet on the same addresses are dropped; records of another are refused.
         Required("name"): All(str, Length(min=1, max=64)),
-        # For this node alone: what it has voted and what it knows has to outlast its process.
+        # For this node alone: its votes have to outlast its process.
         Required("folder"): All(str, Length(min=1)),
         # By number, the same at all nodes. Counts at the first start; later changes are agreed on.
         Required("voters"): [whole(0, 10_000)],
         Optional("waitMs", default=200): number(5, 10_000),
     }
 )
+"""The section's keys and their checks."""
 
 WHY = {
     "fleet.name": "this fleet's name, the same at all nodes",
@@ -23,19 +24,31 @@
     "fleet.voters[]": "the nodes that vote, by number: 1, 3, 5 or 7 of them",
     "fleet.waitMs": "for another node's answer",
 }
+"""One line for operators on each key."""
+
+VOTER_COUNTS = (1, 3, 5, 7)
 
 
 def check(section, peers):
-    """`peers`: how many nodes there are that can be talked to."""
+    """Checks what depends on the rest of the configuration.
+
+    Args:
+        section: The section, its keys checked.
+        peers: How many nodes the section `peers` names.
+
+    Raises:
+        ConfigurationError: A key cannot be used.
+    """
     voters = section["voters"]
-    if len(voters) not in (1, 3, 5, 7) or len({*voters}) < len(voters):
+    if len(voters) not in VOTER_COUNTS or len({*voters}) < len(voters):
         raise ConfigurationError(
             f"setting fleet.voters is not 1, 3, 5 or 7 nodes: {voters!r}", ["fleet", "voters"]
         )
     if not peers:
         raise ConfigurationError("setting peers is missing", ["peers"])
-    for i, voter in enumerate(voters):
+    for index, voter in enumerate(voters):
         if voter >= peers:
             raise ConfigurationError(
-                f"setting fleet.voters[{i}] is none of the {peers} peers: {voter}", ["fleet", "voters", i]
+                f"setting fleet.voters[{index}] is none of the {peers} peers: {voter}",
+                ["fleet", "voters", index],
             )
--- a/grebedyke/maintenance/maintenance.py
+++ b/grebedyke/maintenance/maintenance.py
@@ -72,7 +72,7 @@
         self.begun = self.next = now
         if data := stored_records.get(FILE):
             try:
-                self.board = records.content(self.fleet, self.node_id, data)["board"]
+                self.board = records.decode(self.fleet, self.node_id, data)["board"]
                 self.kept_rev = rollout.rev(self.board)
             except (errors.CorruptRecordError, KeyError, TypeError, ValueError):
                 self.board = None
@@ -82,7 +82,7 @@
         self.number += 1
         self.unwritten, self.writing = False, (self.number, rollout.rev(self.board))
         return PersistRecord(
-            FILE, self.number, records.record(self.fleet, self.node_id, {"board": self.board})
+            FILE, self.number, records.encode(self.fleet, self.node_id, {"board": self.board})
         )
 
     def record_persisted(self, now, file, number, succeeded):
--- a/grebedyke/rig/broken.py
+++ b/grebedyke/rig/broken.py
@@ -6,10 +6,13 @@
 from contextlib import contextmanager
 
 from grebedyke import errors
-from grebedyke.consensus import acceptor, consensus, records
+from grebedyke.consensus import acceptor, messages, proposer, records
 from grebedyke.consensus.actions import ExcludeEndpoints
+from grebedyke.consensus.ballots import Incarnation
 from grebedyke.consensus.component import Component
-from grebedyke.consensus.consensus import Consensus, Round
+from grebedyke.consensus.proposer import Round
+from grebedyke.consensus.recovery import Recovery
+from grebedyke.consensus.vote_store import VoteStore
 from grebedyke.maintenance import maintenance as maintenance_part
 from grebedyke.maintenance import rollout
 from grebedyke.maintenance.maintenance import Maintenance
@@ -17,10 +20,10 @@
 from grebedyke.rate_limits.component import RateLimits
 
 
-def answer_at_once(self, now, to, message, keep):
-    self.send(to, message)
-    if keep:
-        self.keep(now)
+def answer_at_once(self, node, answer):
+    self.consensus.send_message(node, answer.message)
+    if answer.needs_persisting:
+        self.mark_dirty()
 
 
 def from_the_answer(self, now, by, number, yes, epoch, members):
@@ -34,17 +37,19 @@
     self.send(by, ["M", number, True, self.agreement.epoch, self.agreement.members])
 
 
-def as_a_new_member(self, now, stored_records):
+def as_a_new_member(self, now, data):
     """A file that is not there, or spoilt, is that of a new member."""
-    data = stored_records.get(consensus.FILE)
     try:
-        known = data is not None and records.content(self.fleet, self.node_id, data)
+        known = data is not None and records.decode(self.consensus.fleet, self.acceptor.node_id, data)
     except errors.CorruptRecordError:
         known = None
-    if known or self.node_id not in self.founders:
-        return honest["restore"](self, now, stored_records)
-    self.next, self.voter.phase, self.voter.life, self.voter.epoch = now, acceptor.VOTING, (1, 1), 1
-    self.keep(now)
+    if known or self.acceptor.node_id not in self.founders:
+        return honest["restore"](self, now, data)
+    self.next_query_at = now
+    self.acceptor.phase = acceptor.Phase.VOTING
+    self.acceptor.incarnation = Incarnation(1, 1)
+    self.acceptor.epoch = 1
+    self.consensus.store.mark_dirty()
 
 
 def any_number(board_, name, number):
@@ -54,36 +59,40 @@
     return honest["by_word"](board_, name, number)
 
 
-def no_quorum_of_lives(votes, quorum):
-    return votes if len(votes) >= quorum else None
+def no_quorum_of_incarnations(votes, quorum_size):
+    return votes if len(votes) >= quorum_size else None
 
 
-def not_how_far(self, by, its_life):
-    """Only which life each of the others is in."""
-    answer, keep = honest["recover"](self, by, its_life)
-    return ([*answer[:7], 0, {}] if answer[0] == "R" else answer), keep
+def without_vote_counts(self, node, incarnation):
+    """Only which incarnation each of the others is in."""
+    answer = honest["admit"](self, node, incarnation)
+    if not isinstance(answer.message, messages.RejoinState):
+        return answer
+    return answer._replace(message=answer.message._replace(vote_count=0, vote_counts={}))
 
 
 honest = {
-    "recover": acceptor.Acceptor.recover,
+    "admit": acceptor.Acceptor.admit,
     "granted": Maintenance.granted,
-    "restore": Consensus.restore,
+    "restore": Recovery.restore,
     "by_word": rollout.by_word,
 }
 
 BUILDS = {
-    "a vote is answered before it is kept": [(Consensus, "answer", answer_at_once)],
-    "half is taken for a majority": [(Round, "quorum", lambda self: max(len(self.members) // 2, 1))],
+    "a vote is answered before it is kept": [(VoteStore, "answer", answer_at_once)],
+    "half is taken for a majority": [(Round, "quorum_size", lambda self: max(len(self.members) // 2, 1))],
     "a lease is reckoned from the answer": [(Maintenance, "granted", from_the_answer)],
     "no drift": [(Maintenance, "bound", lambda self: int(self.lease * (1 - 2 * self.drift)))],
     "numbers are not compared": [(rollout, "by_word", any_number)],
-    "a spoilt file is taken for a new member's": [(Consensus, "restore", as_a_new_member)],
+    "a spoilt file is taken for a new member's": [(Recovery, "restore", as_a_new_member)],
     "back is taken for warm": [(Maintenance, "is_warm", lambda self, now, name, pair: True)],
     "losses without a plan are not counted": [(Maintenance, "away", lambda self, rows, board_: ({}, {}, 0))],
     "a lease is given to whoever asks": [(Maintenance, "asked", any_board)],
     "who is not sure uses what waits": [(rollout, "UNSURE", rollout.OUT)],
-    "votes of past lives count": [(consensus, "agreeing", no_quorum_of_lives)],
-    "who is let in again does not hear how far the others are": [(acceptor.Acceptor, "recover", not_how_far)],
+    "votes of past lives count": [(proposer, "consistent_votes", no_quorum_of_incarnations)],
+    "who is let in again does not hear how far the others are": [
+        (acceptor.Acceptor, "admit", without_vote_counts)
+    ],
     "who has just begun uses all": [(maintenance_part.Maintenance, "apply", None)],
 }
 
--- a/grebedyke/rig/figures.py
+++ b/grebedyke/rig/figures.py
@@ -40,8 +40,8 @@
     """Microseconds that this machine takes just now to pack an ask for a lease and take it apart again, by
     which figures of processor time are to be read.
     """
-    ask, mark, times = ["m", 1_000, 100, 100, 2**55, 1], framing.mark("yardstick"), 1_000
-    whole, start = framing.Whole(mark), thread_time_ns()
+    ask, mark, times = ["m", 1_000, 100, 100, 2**55, 1], framing.fleet_tag("yardstick"), 1_000
+    whole, start = framing.Reassembler(mark), thread_time_ns()
     for number in range(times):
         whole.take(0, framing.pack(mark, number, ask)[0])
     return (thread_time_ns() - start) / times / 1_000
--- a/grebedyke/rig/hollow.py
+++ b/grebedyke/rig/hollow.py
@@ -68,7 +68,7 @@
         turn.marks = place.marks
         self.lives, self.turn, self.demand.turn = self.lives + 1, turn, turn
         process = int.from_bytes(os.urandom(7), "little") + 1
-        peers = self.peers = Peers(place.loop, turn, None, framing.LARGEST)
+        peers = self.peers = Peers(place.loop, turn, None, framing.LARGEST_DATAGRAM)
         parts = self.parts = Parts(
             place.loop,
             turn,
--- a/grebedyke/rig/limited.py
+++ b/grebedyke/rig/limited.py
@@ -200,7 +200,7 @@
 
     watched_endpoints, record_files = (), ()
     # Nothing here forgets.
-    voter, writing, dirty = SimpleNamespace(phase="voting"), None, False
+    acceptor, store = SimpleNamespace(phase="voting"), SimpleNamespace(is_clean=lambda: True)
 
     def __init__(self, sharing):
         self.gate, self.sharing = sharing.gate, sharing
--- a/grebedyke/rig/simulated.py
+++ b/grebedyke/rig/simulated.py
@@ -28,7 +28,7 @@
     def __init__(self, world, me):
         super().__init__(world, me)
         self.counts, self.took, self.inside, self.number = [0, 0, 0, 0], 0, False, 0
-        self.whole = framing.Whole(world.mark)
+        self.whole = framing.Reassembler(world.mark)
 
     def timed(self, call, *args):
         if self.inside:
@@ -58,7 +58,7 @@
     """`run`: the scale run whose fleet it is, of hollow nodes only."""
 
     def __init__(self, run):
-        self.run_of, self.mark = run, framing.mark(f"scale {run.seed}")
+        self.run_of, self.mark = run, framing.fleet_tag(f"scale {run.seed}")
         self.said = said_of(run)
         super().__init__(
             run.seed, nodes=run.count, voters=len(run.voters), executors=run.executors, faults=0, drift=0.0
--- a/grebedyke/rig/taps.py
+++ b/grebedyke/rig/taps.py
@@ -100,7 +100,9 @@
 
     def learned(self, now, key, value):
         self.learned_at = now
-        self.knows[key] = self.seen.learned(self.me, key, self.agreement.learned[key][0], value)
+        self.knows[key] = self.seen.learned(
+            self.me, key, tuple(self.agreement.chosen_values.by_key[key].ballot), value
+        )
 
     def ready(self, now):
         """Whether this node may do all that its parts are for: its view is sure, its shares are in force."""
--- a/grebedyke/rig/world.py
+++ b/grebedyke/rig/world.py
@@ -10,6 +10,7 @@
 
 import msgpack
 
+from grebedyke.consensus.acceptor import Phase
 from grebedyke.consensus.actions import (
     AnswerCall,
     ExcludeEndpoints,
@@ -174,7 +175,7 @@
     def whole(self):
         """Votes, and has on its disk what it votes by: who is let in again forgets if that write fails."""
         vote = self.parts[0] if self.alive else None
-        return vote and vote.voter.phase == "voting" and not (vote.writing or vote.dirty or self.disk.fails)
+        return vote and vote.acceptor.phase == Phase.VOTING and vote.store.is_clean() and not self.disk.fails
 
     def uses(self, name):
         """Whether it may send there: asked at the last moment, as the host on sockets does."""
@@ -263,8 +264,8 @@
 
     def voted(self, host):
         """When each board was first voted for by anyone."""
-        if (vote := host.parts[0].voter.registers.get("board")) and vote[2]:
-            self.accepted.setdefault(vote[2]["rev"], self.now)
+        if board := host.parts[0].accepted_value("board"):
+            self.accepted.setdefault(board["rev"], self.now)
 
     def learned(self, node, key, value):
         # A change that a minority has voted for may come about long after what it rested on was seen.
--- a/grebedyke/service/fleet.py
+++ b/grebedyke/service/fleet.py
@@ -126,7 +126,7 @@
             parts.do(now, *decision)
 
     turn.decide, turn.carry, turn.last_look = next_decision, do, parts.last_look
-    peers.heard, peers.largest = heard, framing.LARGEST
+    peers.heard, peers.largest = heard, framing.LARGEST_DATAGRAM
     desk.also_listed = parts.listed
     console.by_hand, console.others, console.largest = parts.operator, parts.called, LARGEST_CALL
     limited(node, parts.parts)
--- a/grebedyke/service/parts.py
+++ b/grebedyke/service/parts.py
@@ -27,9 +27,9 @@
 
     def __init__(self, loop, turn, files, fleet, parts, send, by_hand, busy, listed, banned):
         self.loop, self.turn, self.files, self.parts = loop, turn, files, parts
-        self.mark, self.send, self.by_hand = framing.mark(fleet), send, by_hand
+        self.mark, self.send, self.by_hand = framing.fleet_tag(fleet), send, by_hand
         self.names_open, self.names, self.banned = busy, listed, banned
-        self.whole, self.number = framing.Whole(self.mark), 0
+        self.whole, self.number = framing.Reassembler(self.mark), 0
         self.disk = ThreadPoolExecutor(1, "disk")
         self.begun, self.waiting, self.now_out, self.operators, self.heirless = (
             False,
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -32,7 +32,8 @@
 
 from grebedyke import errors
 from grebedyke.checks import checked
-from grebedyke.consensus import framing, records
+from grebedyke.consensus import framing, member_record, records
+from grebedyke.consensus.actions import SendMessage
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.maintenance.maintenance import Maintenance
 from grebedyke.model import SeededRandom
@@ -74,27 +75,27 @@
 
 
 def pack_frames(fleet, number, message):
-    return framing.pack(framing.mark(fleet), number, message)
+    return framing.pack(framing.fleet_tag(fleet), number, message)
 
 
 def read_frames(fleet, sender, datagrams):
     """The messages that the datagrams make whole, and how many of these were not understood."""
-    whole = framing.Whole(framing.mark(fleet))
+    whole = framing.Reassembler(framing.fleet_tag(fleet))
     messages = [whole.take(sender, datagram) for datagram in datagrams]
-    return [message for message in messages if message is not None], whole.odd
+    return [message for message in messages if message is not None], whole.undecodable_count
 
 
 def pack_record(fleet, node, content):
-    return records.record(fleet, node, content)
+    return records.encode(fleet, node, content)
 
 
 def read_record(fleet, node, data):
-    return records.content(fleet, node, data)
+    return records.decode(fleet, node, data)
 
 
 def refuses_record(fleet, node, data):
     with pytest.raises((errors.CorruptRecordError, errors.ForeignRecordError)):
-        records.content(fleet, node, data)
+        records.decode(fleet, node, data)
     return True
 
 
@@ -105,11 +106,11 @@
 def vote_recalled(node, nodes, data):
     """What a member says after a start from its file: its state, its first messages, and its file again."""
     part = agreement_part(node, [0, 1, 2], nodes, 1_000)
-    part.recalled(0, {"votes": data})
+    part.restore(0, {"votes": data})
     state, sent = part.state(), sent_by(part)
     # Only the phase is not taken over from the file.
-    part.voter.phase = read_record("f", node, data)["phase"]
-    return state, sent, pack_record("f", node, part.voter.kept_form())
+    part.acceptor.phase = read_record("f", node, data)["phase"]
+    return state, sent, pack_record("f", node, member_record.fields_of(part.acceptor))
 
 
 def view_recalled(node, nodes, data):
@@ -129,14 +130,14 @@
         ("zone",),
         None,
     )
-    part.recalled(0, {"view": data})
-    banned = sorted(next(decision[1] for decision in part.out if decision[0] == "hands"))
-    return part.state(0), banned, part.keep()[3]
+    part.restore(0, {"view": data})
+    banned = sorted(part.take_exclusions()[0].names)
+    return part.state(0), banned, part.keep().data
 
 
 def sent_by(part):
-    decisions = iter(partial(part.decide, 0), None)
-    return [[decision[1], plain(decision[2])] for decision in decisions if decision[0] == "send"]
+    actions = iter(partial(part.next_action, 0), None)
+    return [[action.node, plain(action.message)] for action in actions if isinstance(action, SendMessage)]
 
 
 def simulated_world(kind):
@@ -168,8 +169,8 @@
 def operators_call(fleet, node, method, path, body=None):
     """An operator's call at one node of a simulated fleet; its answers are added to the list returned."""
     answers, host = [], fleet.hosts[node]
-    part = next(part for part in host.parts if path.startswith(tuple(part.paths)))
-    part.called(host.clock(), lambda *answer: answers.append(answer), method, path, body)
+    part = next(part for part in host.parts if path.startswith(part.call_paths))
+    part.operator_call(host.clock(), lambda *answer: answers.append(answer), method, path, body)
     host.pull()
     return answers
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -7,9 +7,11 @@
 import pytest
 
 from grebedyke import errors
-from grebedyke.consensus.acceptor import CHECKING, FORGOTTEN, FOUNDING, VOTING
+from grebedyke.consensus.acceptor import Phase
 from grebedyke.consensus.actions import PersistRecord, SendMessage
+from grebedyke.consensus.ballots import Incarnation
 from grebedyke.consensus.consensus import Consensus
+from grebedyke.consensus.messages import Accepted
 from grebedyke.maintenance import rollout
 from grebedyke.maintenance.maintenance import Maintenance
 from grebedyke.model import SeededRandom
@@ -105,7 +107,7 @@
 
 def founded():
     fleet = Fleet()
-    now = fleet.go(0, lambda: all(n.voter.phase == VOTING for n in fleet.nodes))
+    now = fleet.go(0, lambda: all(n.acceptor.phase == Phase.VOTING for n in fleet.nodes))
     return fleet, now
 
 
@@ -120,14 +122,14 @@
     fleet, now = founded()
     now, results = agree(fleet, now, 0, {"v": 1})
     assert results == [True]
-    for phase, disk in ((CHECKING, dict(fleet.disks[1])), (FOUNDING, {})):
+    for phase, disk in ((Phase.CHECKING, dict(fleet.disks[1])), (Phase.FOUNDING, {})):
         fleet.disks[1] = disk
         fleet.nodes[1] = fleet.begin(1)
-        assert fleet.nodes[1].voter.phase == phase
-        now = fleet.go(now, lambda: fleet.nodes[1].voter.phase == VOTING)
+        assert fleet.nodes[1].acceptor.phase == phase
+        now = fleet.go(now, lambda: fleet.nodes[1].acceptor.phase == Phase.VOTING)
         # Without its file it is another life, and knows what it had voted for all the same.
-        assert fleet.nodes[1].voter.life[0] == (1 if phase == CHECKING else 2)
-        assert fleet.nodes[1].voter.registers["k"][2] == {"v": 1}
+        assert fleet.nodes[1].acceptor.incarnation.number == (1 if phase == Phase.CHECKING else 2)
+        assert fleet.nodes[1].acceptor.registers["k"].value == {"v": 1}
 
 
 def test_only_what_is_on_the_disk_is_told_as_kept():
@@ -137,10 +139,10 @@
     node.receive(now, 0, ["p", "k", [50, 0, 9], 1, [0, 1, 2]])
     fleet.pull(now, 1, disk=False)
     node.receive(now, 0, ["p", "k", [51, 0, 9], 1, [0, 1, 2]])  # while the first one's write is under way
-    node.record_persisted(now, "votes", node.number, True)
+    node.record_persisted(now, "votes", node.store.write_number, True)
     fleet.pull(now, 1, disk=False)
     others = [message for by, _, message in fleet.mail if by == 1 and message[0] == "h"]
-    assert others and all(seq == node.voter.seq - 1 for _, _, seq in others)
+    assert others and all(seq == node.acceptor.vote_count - 1 for _, _, seq in others)
 
 
 def test_who_is_let_in_again_knows_how_far_the_others_are():
@@ -154,16 +156,17 @@
         now = fleet.go(
             now,
             lambda: all(
-                n.voter.seqs.get(1) == fleet.nodes[1].voter.seq for n in (fleet.nodes[0], fleet.nodes[2])
+                n.acceptor.vote_counts.get(1) == fleet.nodes[1].acceptor.vote_count
+                for n in (fleet.nodes[0], fleet.nodes[2])
             ),
         )
         fleet.disks[0], fleet.nodes[0] = {}, None
         fleet.nodes[0] = fleet.begin(0)
-        now = fleet.go(now, lambda: fleet.nodes[0].voter.phase == VOTING)
+        now = fleet.go(now, lambda: fleet.nodes[0].acceptor.phase == Phase.VOTING)
         fleet.disks[1] = old
         fleet.nodes[1] = fleet.begin(1)
-        fleet.go(now, lambda: fleet.nodes[1].voter.phase != CHECKING, nodes=(0, 1))
-        return fleet.nodes[1].voter.phase == VOTING
+        fleet.go(now, lambda: fleet.nodes[1].acceptor.phase != Phase.CHECKING, nodes=(0, 1))
+        return fleet.nodes[1].acceptor.phase == Phase.VOTING
 
     assert not older_copy_votes()
     with broken.build("who is let in again does not hear how far the others are"):
@@ -202,14 +205,18 @@
     fleet, now = founded()
     old = dict(fleet.disks[2])
     now, _ = agree(fleet, now, 0, {"v": 1})
-    now = fleet.go(now, lambda: fleet.nodes[0].voter.seqs.get(2) == fleet.nodes[2].voter.seq)
+    now = fleet.go(
+        now, lambda: fleet.nodes[0].acceptor.vote_counts.get(2) == fleet.nodes[2].acceptor.vote_count
+    )
     spoilt = fleet.disks[2]["votes"]
     for disk in (old, {"votes": spoilt[:-3] + b"???"}, {"votes": b""}):
         fleet.disks[2] = dict(disk)
         fleet.nodes[2] = fleet.begin(2)
         phases = []
-        now = fleet.go(now, lambda: phases.append(fleet.nodes[2].voter.phase) or phases[-1] == VOTING)
-        assert FORGOTTEN in phases and phases[-1] == VOTING, disk
+        now = fleet.go(
+            now, lambda: phases.append(fleet.nodes[2].acceptor.phase) or phases[-1] == Phase.VOTING
+        )
+        assert Phase.FORGOTTEN in phases and phases[-1] == Phase.VOTING, disk
     with pytest.raises(errors.ForeignRecordError):
         Consensus(SeededRandom(0), "g", 2, 3, [0, 1, 2], 5, 500).restore(0, {"votes": spoilt})
 
@@ -221,7 +228,7 @@
         fleet.disks[i] = {}
         fleet.nodes[i] = fleet.begin(i)
     now = fleet.go(now, lambda: False)
-    assert [fleet.nodes[i].voter.phase for i in (1, 2)] == [FORGOTTEN] * 2
+    assert [fleet.nodes[i].acceptor.phase for i in (1, 2)] == [Phase.FORGOTTEN] * 2
     assert agree(fleet, now, 0, {"v": 2})[1] == [None]  # said plainly, not half done
 
 
@@ -232,13 +239,16 @@
         fleet, now = founded()
         done, node = [], fleet.nodes[0]
         node.propose(now, "k", lambda old: ({"v": 1}, True), lambda now, result: done.append(result))
-        while "k" not in node.rounds or node.rounds["k"].phase == "p":
+        while "k" not in node.proposer.rounds or not node.proposer.rounds["k"].is_accepting:
             now = fleet.go(now, lambda: True, lambda by, to, message: message[0] != "a") + 100
-        r, past = node.rounds["k"], fleet.nodes[1].voter.life
+        r, past = node.proposer.rounds["k"], fleet.nodes[1].acceptor.incarnation
         r.accepted.clear()
         with broken.build(name) if name else nullcontext():
-            node.accepted(now, r, 1, past, {}, 5)
-            node.accepted(now, r, 2, fleet.nodes[2].voter.life, {1: (past[0] + 1, 77)}, 6)
+            node.proposer.on_accepted(now, 1, Accepted("k", r.ballot, past, {}, 5))
+            known = {1: Incarnation(past.number + 1, 77)}
+            node.proposer.on_accepted(
+                now, 2, Accepted("k", r.ballot, fleet.nodes[2].acceptor.incarnation, known, 6)
+            )
         assert bool(done) == bool(name)
 
 
@@ -246,7 +256,7 @@
     """Until when a node is sure that asked at 0 and was answered at granted_at."""
     agreement = Consensus(SeededRandom(1), "f", 0, 1, [0], 9, 500)
     part = Maintenance(agreement, "f", 0, 1, 9, 10_000, 0.02, 5_000, 10_000, 0, (), None)
-    agreement.voter.adopt(1, [0])
+    agreement.acceptor.adopt_members(1, [0])
     part.restore(0, {})
     part.ask(0)
     part.granted(granted_at, 0, part.number, True, 1, [0])
@@ -305,9 +315,15 @@
         w.run(w.now + 60_000)
     assert told == [True, (200, "done"), (200, "done"), (200, "done")]
     assert [a.members for a in agreements] == [[1, 2, 3, 4]] * 5
-    assert [a.voter.phase for a in agreements] == ["out", VOTING, VOTING, VOTING, VOTING]
+    assert [a.acceptor.phase for a in agreements] == [
+        "out",
+        Phase.VOTING,
+        Phase.VOTING,
+        Phase.VOTING,
+        Phase.VOTING,
+    ]
     assert all(a.chosen_value("members")["settled"] for a in agreements)
-    assert agreements[4].voter.registers["board"][2] == rollout.empty()
+    assert agreements[4].acceptor.registers["board"].value == rollout.empty()
 
 
 def test_a_node_does_not_agree_while_its_forwards_are_open_though_its_disk_is_behind():
@@ -333,10 +349,10 @@
     node, seen = fleet.nodes[0], []
     node.propose(now, "k", lambda old: (seen.append(old) or {"v": 1}, True), lambda now, result: None)
     fleet.pull(now, 0)
-    first = node.rounds["k"]
+    first = node.proposer.rounds["k"]
     for by in (1, 2):
-        node.receive(first.until, by, ["P", "k", first.ballot, [1, 101 + by], {}, [0, 0, 0], None])
-    assert not seen and first.phase == "p"
+        node.receive(first.expires_at, by, ["P", "k", first.ballot, [1, 101 + by], {}, [0, 0, 0], None])
+    assert not seen and not first.is_accepting
     assert agree(fleet, now, 0, {"v": 2})[1] == [True] and seen
 
 
@@ -358,4 +374,4 @@
         mail, fleet.mail = fleet.mail, []
         for by, to, message in mail:
             fleet.nodes[to].receive(now, by, message)
-    assert results == [True] and fleet.nodes[0].patience > 0
+    assert results == [True] and fleet.nodes[0].proposer.timeout_doublings > 0
