--- /dev/null
+++ b/grebedyke/maintenance/operator_calls.py
@@ -0,0 +1,88 @@
+"""The operators' calls below /v1/maintenance: what they ask for, and what they are told. No I/O."""
+
+from typing import NamedTuple
+
+from grebedyke.maintenance.commands import RolloutCommand
+from grebedyke.units import TICKS_PER_MILLISECOND
+
+CALL_PATH = b"/v1/maintenance"
+NO_MAJORITY = "no majority of the voters answers; it may come about all the same, asking again is harmless"
+NO_SUCH_CALL = "no such call"
+
+
+class ShowStatus(NamedTuple):
+    """Show how far the rollout is."""
+
+
+class SubmitPlan(NamedTuple):
+    """Put a plan in force.
+
+    Attributes:
+        body: The plan as the operators wrote it.
+    """
+
+    body: dict | None
+
+
+class SteerRollout(NamedTuple):
+    """Pause, resume or abort the plan in force.
+
+    Attributes:
+        command: Which of these.
+    """
+
+    command: RolloutCommand
+
+
+class ConfirmBack(NamedTuple):
+    """Say that work on a machine is over.
+
+    Attributes:
+        name: The machine.
+        number: The number under which it was reported free.
+    """
+
+    name: str
+    number: int
+
+
+OperatorCall = ShowStatus | SubmitPlan | SteerRollout | ConfirmBack
+
+
+def parse_call(method, path, body):
+    """Returns the `OperatorCall` of a request, None where there is no such call."""
+    match method, path.decode("latin-1").strip("/").split("/")[2:]:
+        case b"GET", []:
+            return ShowStatus()
+        case b"POST", ["plan"]:
+            return SubmitPlan(body)
+        case b"POST", ["pause" | "go" | "abort" as command]:
+            return SteerRollout(RolloutCommand(command))
+        case b"POST", ["back", name, number] if number.isdecimal():
+            return ConfirmBack(name, int(number))
+    return None
+
+
+def describe_status(now, rollout, lease, unacknowledged_nodes):
+    """Returns the JSON answer to `ShowStatus`.
+
+    Args:
+        now: The node's clock, in ticks.
+        rollout: The rollout as this node knows it.
+        lease: The node's `ViewLease`; `as_of_ms` is how long ago the view was the newest.
+        unacknowledged_nodes: The nodes that the rollout waits for.
+    """
+    requested_at = lease.requested_at()
+    return {
+        "rev": rollout.revision,
+        "plan": rollout.plan.id if rollout.plan else None,
+        "state": rollout.phase.value if rollout.phase else None,
+        "sure": lease.is_certain(now),
+        "as_of_ms": None if requested_at is None else (now - requested_at) // TICKS_PER_MILLISECOND,
+        "machines": [
+            {"name": name, "state": status.state.value, "number": status.number}
+            for name, status in rollout.machines.items()
+        ],
+        "past": [{"plan": past.id, "state": past.outcome.value} for past in rollout.past_plans],
+        "waits_for": unacknowledged_nodes,
+    }
--- a/grebedyke/rig/taps.py
+++ b/grebedyke/rig/taps.py
@@ -105,13 +105,13 @@
     def ready(self, now):
         """Whether this node may do all that its parts are for: its view is sure, its shares are in force."""
         return self.parts.begun and all(
-            part.sure(now)
+            part.view_is_certain(now)
             if not hasattr(part, "gate")
             else part.share_asked is not None
             and now < part.share_asked + part.lease
             and part.term == (part.value or {}).get("term")
             for part in self.parts.parts
-            if hasattr(part, "sure")
+            if hasattr(part, "gate") or hasattr(part, "view_is_certain")
         )
 
     def role(self):
--- a/grebedyke/service/fleet.py
+++ b/grebedyke/service/fleet.py
@@ -25,26 +25,10 @@
     )
     parts = [agreement]
     if said["maintenance"] is not None:
-        from grebedyke.maintenance.maintenance import Maintenance
+        from grebedyke.maintenance.component import Maintenance
 
-        section, rules = said["maintenance"], conf["rules"]
-        keyed = [row for row in conf["operations"] if row["idempotency"] == "keyed"]
-        parts.append(
-            Maintenance(
-                agreement,
-                fleet["name"],
-                me,
-                nodes,
-                process,
-                ticks(section["leaseMs"]),
-                section["drift"],
-                ticks(rules["drainGraceMs"]),
-                ticks(rules["rampTimeMs"]),
-                max((ticks(row["windowMs"]) for row in keyed), default=0),
-                {row["group"] for row in keyed},
-                None if section["aloneMs"] is None else ticks(section["aloneMs"]),
-            )
-        )
+        settings = maintenance_settings(said["maintenance"], conf)
+        parts.append(Maintenance(agreement, fleet["name"], me, nodes, process, settings))
     if said["shares"] is not None:
         from grebedyke.rate_limits import settings
         from grebedyke.rate_limits.component import RateLimits
@@ -67,6 +51,24 @@
     return parts
 
 
+def maintenance_settings(section, settings):
+    """Returns the figures of the maintenance component out of its section and the decisions' settings."""
+    from grebedyke.maintenance.settings import MaintenanceSettings
+
+    rules = settings["rules"]
+    keyed_operations = [row for row in settings["operations"] if row["idempotency"] == "keyed"]
+    alone = section["aloneMs"]
+    return MaintenanceSettings(
+        lease=ticks(section["leaseMs"]),
+        drift=section["drift"],
+        drain_grace=ticks(rules["drainGraceMs"]),
+        warm_up_time=ticks(rules["rampTimeMs"]),
+        idempotency_window=max((ticks(row["windowMs"]) for row in keyed_operations), default=0),
+        idempotency_groups=tuple({row["group"] for row in keyed_operations}),
+        trust_stored_view_after=None if alone is None else ticks(alone),
+    )
+
+
 def limited(node, parts):
     """The part that keeps the fleet's limits stands where the module asks for them; SIGHUP changes them."""
     sharing = next((part for part in parts if hasattr(part, "gate")), None)
