--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -33,8 +33,9 @@
 from grebedyke import errors
 from grebedyke.checks import checked
 from grebedyke.consensus import framing, records
+from grebedyke.consensus.actions import SendMessage
 from grebedyke.consensus.consensus import Consensus
-from grebedyke.maintenance.maintenance import Maintenance
+from grebedyke.maintenance.component import Maintenance
 from grebedyke.model import SeededRandom
 from grebedyke.rig import limited, world
 from grebedyke.service import configuration
@@ -81,7 +82,7 @@
     """The messages that the datagrams make whole, and how many of these were not understood."""
     whole = framing.Whole(framing.mark(fleet))
     messages = [whole.take(sender, datagram) for datagram in datagrams]
-    return [message for message in messages if message is not None], whole.odd
+    return [message for message in messages if message is not None], whole.undecodable_count
 
 
 def pack_record(fleet, node, content):
@@ -105,7 +106,7 @@
 def vote_recalled(node, nodes, data):
     """What a member says after a start from its file: its state, its first messages, and its file again."""
     part = agreement_part(node, [0, 1, 2], nodes, 1_000)
-    part.recalled(0, {"votes": data})
+    part.restore(0, {"votes": data})
     state, sent = part.state(), sent_by(part)
     # Only the phase is not taken over from the file.
     part.voter.phase = read_record("f", node, data)["phase"]
@@ -115,28 +116,16 @@
 def view_recalled(node, nodes, data):
     """What a node says after a start from its view: its state, the banned machines, and its file again."""
     agreement = agreement_part(node, [0, 1, 2], nodes, 1_000)
-    part = Maintenance(
-        agreement,
-        "f",
-        node,
-        nodes,
-        1_000,
-        TICKS_PER_SECOND,
-        0.02,
-        TICKS_PER_SECOND // 2,
-        TICKS_PER_SECOND,
-        TICKS_PER_SECOND,
-        ("zone",),
-        None,
-    )
-    part.recalled(0, {"view": data})
-    banned = sorted(next(decision[1] for decision in part.out if decision[0] == "hands"))
-    return part.state(0), banned, part.keep()[3]
+    settings = world.maintenance_settings(TICKS_PER_SECOND, drift=0.02)
+    part = Maintenance(agreement, "f", node, nodes, 1_000, settings)
+    part.restore(0, {"view": data})
+    banned = sorted(part.take_exclusions()[0].names)
+    return part.status(0), banned, part.record.start_write(1, part.rollout).data
 
 
 def sent_by(part):
-    decisions = iter(partial(part.decide, 0), None)
-    return [[decision[1], plain(decision[2])] for decision in decisions if decision[0] == "send"]
+    actions = iter(partial(part.next_action, 0), None)
+    return [[action.node, plain(action.message)] for action in actions if isinstance(action, SendMessage)]
 
 
 def simulated_world(kind):
@@ -168,8 +157,8 @@
 def operators_call(fleet, node, method, path, body=None):
     """An operator's call at one node of a simulated fleet; its answers are added to the list returned."""
     answers, host = [], fleet.hosts[node]
-    part = next(part for part in host.parts if path.startswith(tuple(part.paths)))
-    part.called(host.clock(), lambda *answer: answers.append(answer), method, path, body)
+    part = next(part for part in host.parts if path.startswith(part.call_paths))
+    part.operator_call(host.clock(), lambda *answer: answers.append(answer), method, path, body)
     host.pull()
     return answers
 
