--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -35,7 +35,7 @@
 from grebedyke.consensus import framing, member_record, records
 from grebedyke.consensus.actions import SendMessage
 from grebedyke.consensus.consensus import Consensus
-from grebedyke.maintenance.maintenance import Maintenance
+from grebedyke.maintenance.component import Maintenance
 from grebedyke.model import SeededRandom
 from grebedyke.rig import limited, world
 from grebedyke.service import configuration
@@ -116,23 +116,11 @@
 def view_recalled(node, nodes, data):
     """What a node says after a start from its view: its state, the banned machines, and its file again."""
     agreement = agreement_part(node, [0, 1, 2], nodes, 1_000)
-    part = Maintenance(
-        agreement,
-        "f",
-        node,
-        nodes,
-        1_000,
-        TICKS_PER_SECOND,
-        0.02,
-        TICKS_PER_SECOND // 2,
-        TICKS_PER_SECOND,
-        TICKS_PER_SECOND,
-        ("zone",),
-        None,
-    )
+    settings = world.maintenance_settings(TICKS_PER_SECOND, drift=0.02)
+    part = Maintenance(agreement, "f", node, nodes, 1_000, settings)
     part.restore(0, {"view": data})
     banned = sorted(part.take_exclusions()[0].names)
-    return part.state(0), banned, part.keep().data
+    return part.status(0), banned, part.record.start_write(1, part.rollout).data
 
 
 def sent_by(part):
