--- a/grebedyke/rig/counted.py
+++ b/grebedyke/rig/counted.py
@@ -28,7 +28,7 @@
         self.tap = Tap(me, seen, told["seed"])
         self.tap.loss, self.tap.delay = told["loss"], told["delay"]
         self.tap.attach(node.also, node.peers, loop)
-        node.turn.last_look = node.also.last_look
+        node.turn.last_look = node.also.expire
         self.demand = Demand(
             loop,
             self.tap,
--- a/grebedyke/rig/hollow.py
+++ b/grebedyke/rig/hollow.py
@@ -1,8 +1,8 @@
 """Hollow nodes, many in a process: the real parts on real datagrams in real time, and nothing else of a node.
 
-No clients, executors and log; the parts are hosted by `service/parts.py` itself, each node's with a socket, a
-turn and a folder of its own. python -m grebedyke.rig.hollow, told by GREBEDYKE_SCALE (JSON); only a scale run
-starts it. docs/scale.md says how far such a node stands for a real one.
+No clients, executors and log; the parts are hosted by `service/component_host.py` itself, each node's with a
+socket, a turn and a folder of its own. python -m grebedyke.rig.hollow, told by GREBEDYKE_SCALE (JSON); only a
+scale run starts it. docs/scale.md says how far such a node stands for a real one.
 """
 
 import asyncio
@@ -21,10 +21,10 @@
 from grebedyke.rig.station import BEAT, Station
 from grebedyke.rig.taps import Demand, Seen, Tap, operation
 from grebedyke.service import configuration
-from grebedyke.service.files import Files
-from grebedyke.service.fleet import parts_of
+from grebedyke.service.component_host import ComponentHost, NodeAccess
+from grebedyke.service.fleet_assembly import build_components, new_process_id
 from grebedyke.service.log import Gauges
-from grebedyke.service.parts import Parts
+from grebedyke.service.record_files import RecordFiles
 from grebedyke.service.turn import Turn
 from grebedyke.wire.peers import Peers
 
@@ -67,28 +67,31 @@
         # One loop: a stall of it is one of all its nodes, and one beat tells them all.
         turn.marks = place.marks
         self.lives, self.turn, self.demand.turn = self.lives + 1, turn, turn
-        process = int.from_bytes(os.urandom(7), "little") + 1
+        process = new_process_id()
+        told = {**self.said, "seed": f"{self.said['seed']} {self.lives}"}
         peers = self.peers = Peers(place.loop, turn, None, framing.LARGEST_DATAGRAM)
-        parts = self.parts = Parts(
+        parts = self.parts = ComponentHost(
             place.loop,
             turn,
-            Files(self.said["fleet"]["folder"]),
+            RecordFiles(self.said["fleet"]["folder"]),
             self.said["fleet"]["name"],
-            parts_of({**self.said, "seed": f"{self.said['seed']} {self.lives}"}, process, turn.clock()),
-            peers.send,
-            # A node that has nobody to send to knows each executor that it is told to leave out.
-            lambda now, name, out: True,
-            lambda names: [],
-            lambda: [row[0] for row in place.rows],
-            lambda: [],
+            build_components(told, process, turn.clock()),
+            NodeAccess(
+                send_datagram=peers.send,
+                # A node that has nobody to send to knows each executor that it is told to leave out.
+                set_ban=lambda now, name, is_banned: True,
+                with_open_attempts=lambda names: [],
+                listed_names=lambda: [row[0] for row in place.rows],
+                banned_names=lambda: [],
+            ),
         )
-        self.disk = parts.disk
+        self.disk = parts.disk_thread
         self.tap.attach(parts, peers, place.loop)
-        peers.heard = parts.heard
-        turn.decide, turn.last_look = parts.decide, parts.last_look
-        turn.carry = lambda now, decision: parts.do(now, *decision)
+        peers.heard = parts.receive_datagram
+        turn.decide, turn.last_look = parts.next_action, parts.expire
+        turn.carry = lambda now, decision: parts.perform(now, *decision)
         peers.move(self.said["peers"], self.me)
-        turn.put(parts.listed, True, place.rows)
+        turn.put(parts.endpoints_changed, True, place.rows)
         parts.start(False)
         self.alive = True
         if self.wanted:
@@ -100,7 +103,7 @@
             self.alive = False
             self.demand.stop()
             self.peers.move([], 0)
-            self.parts.begun = False
+            self.parts.is_started = False
             self.turn.limits.clear()
             self.parts.close()
 
--- a/grebedyke/rig/launch.py
+++ b/grebedyke/rig/launch.py
@@ -14,7 +14,7 @@
 import time
 
 from grebedyke.service import assembly, start
-from grebedyke.service.files import Files
+from grebedyke.service.record_files import RecordFiles
 
 # What a disk may do: told by the file that `disk` names, one word a line.
 DISK = {
@@ -28,7 +28,7 @@
 }
 
 
-class LyingFiles(Files):
+class LyingFiles(RecordFiles):
     """`told()`: the faults of this moment. What a lying disk has not kept lies beside, until it is honest."""
 
     def __init__(self, folder, told):
--- a/grebedyke/rig/simulated.py
+++ b/grebedyke/rig/simulated.py
@@ -16,7 +16,7 @@
 from grebedyke.rig.taps import Asked, operation, weighed
 from grebedyke.rig.world import Host, World
 from grebedyke.service import configuration
-from grebedyke.service.fleet import parts_of
+from grebedyke.service.fleet_assembly import build_components
 from grebedyke.units import TICKS_PER_SECOND
 
 TICK = TICKS_PER_SECOND // 5
@@ -70,7 +70,7 @@
 
     def parts_for(self, host):
         settings = {**self.said["settings"], "me": host.me}
-        return parts_of({**self.said, "settings": settings}, host.life + 2**55, host.clock())
+        return build_components({**self.said, "settings": settings}, host.life + 2**55, host.clock())
 
     def learned(self, node, key, value):
         """Judged in the rounds of `torture`, not here."""
@@ -189,7 +189,7 @@
     for host, (counts, took) in zip(world.hosts, start, strict=True):
         per = [(a - b) * TICKS_PER_SECOND / span for a, b in zip(host.counts, counts, strict=True)]
         votes = "holder" if host.parts[-1].holds() else "voter" if host.parts[0].is_voting() else "other"
-        objects, size = weighed(host)
+        objects, size = weighed(host.parts, host.whole)
         rows.append(
             {
                 "node": host.me,
--- a/grebedyke/rig/station.py
+++ b/grebedyke/rig/station.py
@@ -129,7 +129,8 @@
         found = {}
         for me, host in self.hosts.items():
             if host.alive and len(found) < most:
-                objects, size = weighed(host.tap.parts)
+                hosting = host.tap.parts
+                objects, size = weighed(hosting.components, hosting.reassembler)
                 found[me] = {"objects": objects, "bytes": size, "lengths": lengths(host.tap.parts)}
         return {"nodes": found}
 
@@ -152,7 +153,9 @@
     def do_call(self, node, method, path, body):
         """An operator's call; answered once the part has."""
         host, caller = self.hosts[node], Caller(self)
-        if not host.alive or not host.tap.parts.called(caller, method.encode(), path.encode(), body.encode()):
+        if not host.alive or not host.tap.parts.operator_call(
+            caller, method.encode(), path.encode(), body.encode()
+        ):
             return {"status": 0, "text": "no node there"}
         return None  # by the caller, once the part has said something
 
--- a/grebedyke/rig/taps.py
+++ b/grebedyke/rig/taps.py
@@ -23,7 +23,7 @@
 
 # What went through is told by spans of that length: the judge's slack is what one of them lets through.
 SPAN = TICKS_PER_SECOND // 10
-TIMED = "heard", "decide", "do", "last_look"
+TIMED = "receive_datagram", "next_action", "perform", "expire"
 
 
 class Tap:
@@ -46,7 +46,7 @@
         """Around a node that has been put together and has not begun."""
         self.parts, self.knows = parts, {}
         self.asks.extend([0] * 3)
-        send, receive, do = parts.send, peers.datagram_received, parts.do
+        send, receive, do = parts.send_datagram, peers.datagram_received, parts.perform
 
         def out(to, body):
             self.counts[0] += 1
@@ -71,10 +71,10 @@
                     self.asked(now, part.lease)
             do(now, part, decision)
 
-        parts.send, peers.datagram_received, parts.do = out, received, done
+        parts.send_datagram, peers.datagram_received, parts.perform = out, received, done
         for name in TIMED:
             setattr(parts, name, self.timed(getattr(parts, name)))
-        self.agreement = next(part for part in parts.parts if hasattr(part, "listeners"))
+        self.agreement = next(part for part in parts.components if hasattr(part, "listeners"))
         self.agreement.listeners.append(self.learned)
 
     def asked(self, now, lease):
@@ -106,21 +106,21 @@
 
     def ready(self, now):
         """Whether this node may do all that its parts are for: its view is sure, its shares are in force."""
-        return self.parts.begun and all(
+        return self.parts.is_started and all(
             part.view_is_certain(now)
             if not hasattr(part, "gate")
             else part.share_asked is not None
             and now < part.share_asked + part.lease
             and part.term == (part.value or {}).get("term")
-            for part in self.parts.parts
+            for part in self.parts.components
             if hasattr(part, "gate") or hasattr(part, "view_is_certain")
         )
 
     def role(self):
         """What this node is to the others at this moment; who drives a plan the run knows."""
-        if self.parts is None or not self.parts.begun:
+        if self.parts is None or not self.parts.is_started:
             return "down"
-        if any(part.holds() for part in self.parts.parts if hasattr(part, "holds")):
+        if any(part.holds() for part in self.parts.components if hasattr(part, "holds")):
             return "holder"
         return "voter" if self.agreement.is_voting() else "other"
 
@@ -170,8 +170,8 @@
         self.timer = self.loop.call_later(
             self.every * (0.5 + self.chance.draw()) / TICKS_PER_SECOND, self.ask
         )
-        gate = next((part.gate for part in self.tap.parts.parts if hasattr(part, "gate")), None)
-        if gate is None or not self.tap.parts.begun:
+        gate = next((part.gate for part in self.tap.parts.components if hasattr(part, "gate")), None)
+        if gate is None or not self.tap.parts.is_started:
             return
         for tenant in self.wants:
             now, inv = self.turn.clock(), Asked(self.operation, tenant)
@@ -210,9 +210,9 @@
 )
 
 
-def weighed(parts):
-    """(objects, bytes) that hang on the parts of a node; what several nodes share is each one's."""
-    seen, left, size = set(), [*parts.parts, parts.whole], 0
+def weighed(components, reassembler):
+    """(objects, bytes) that hang on the components of a node; what several nodes share is each one's."""
+    seen, left, size = set(), [*components, reassembler], 0
     while left:
         one = left.pop()
         if id(one) in seen or isinstance(one, OPAQUE):
@@ -250,7 +250,7 @@
             for name, x in attributes(one).items():
                 walk(f"{path}.{name}", x)
 
-    for part in parts.parts:
+    for part in parts.components:
         walk(type(part).__name__, part)
     return {path: (n, number[path]) for path, n in found.items()}
 
--- a/grebedyke/rig/world.py
+++ b/grebedyke/rig/world.py
@@ -73,7 +73,7 @@
 
 
 class Host:
-    """One node: what service/parts.py does on sockets, without them."""
+    """One node: what service/component_host.py does on sockets, without them."""
 
     def __init__(self, world, me):
         self.world, self.me, self.disk = world, me, Disk()
--- a/grebedyke/service/assembly.py
+++ b/grebedyke/service/assembly.py
@@ -191,7 +191,7 @@
     )
     if said["fleet"]:
         # Imported here: a node that is no part of a fleet pays nothing for it.
-        from grebedyke.service.fleet import join
+        from grebedyke.service.fleet_assembly import join_fleet
 
-        join(node, files)
+        join_fleet(node, files)
     return node
--- /dev/null
+++ b/grebedyke/service/component_host.py
@@ -0,0 +1,250 @@
+"""Hosts the components of a fleet node in its event loop: tells them what happens, carries out their actions.
+
+The interface is described in `grebedyke/consensus/component.py`. Nothing here knows a component by name.
+"""
+
+from collections.abc import Callable, Iterable
+from concurrent.futures import ThreadPoolExecutor
+from typing import NamedTuple
+
+import orjson
+from loguru import logger
+
+from grebedyke.consensus import actions, framing
+from grebedyke.errors import ConfigurationError, ForeignRecordError
+from grebedyke.service.endpoint_exclusions import EndpointExclusions
+from grebedyke.units import TICKS_PER_SECOND
+
+LOCK_RETRY_INTERVAL = TICKS_PER_SECOND // 10
+"""How soon a folder that another process has is tried again."""
+LARGEST_CALL = 65_536
+"""Of an operator's call, in bytes: enough for a plan of some hundred machines."""
+
+
+class NodeAccess(NamedTuple):
+    """What a host needs of the rest of its node.
+
+    Attributes:
+        send_datagram: send_datagram(node, bytes) to another node.
+        set_ban: set_ban(now, name, is_banned) of an endpoint; returns whether the node knows it.
+        with_open_attempts: with_open_attempts(names) returns those that have attempts in flight here.
+        listed_names: Returns the names of all endpoints on the list.
+        banned_names: Returns the names of the endpoints that are banned.
+    """
+
+    send_datagram: Callable[[int, bytes], None]
+    set_ban: Callable[[int, str, bool], bool]
+    with_open_attempts: Callable[[Iterable[str]], list[str]]
+    listed_names: Callable[[], Iterable[str]]
+    banned_names: Callable[[], Iterable[str]]
+
+
+class ComponentHost:
+    """Hosts a node's components.
+
+    Attributes:
+        loop: The event loop, for writes to disk.
+        turn: The node's batches; all calls of components happen in them.
+        record_files: The node's folder.
+        components: In the order in which they are asked for actions.
+        node: The rest of the node.
+        send_datagram: As in `NodeAccess`.
+        fleet_tag: Marks this fleet's datagrams.
+        reassembler: Puts the messages of other nodes together.
+        message_number: That of the last message sent.
+        disk_thread: Where records are written.
+        is_started: Whether this process has the folder and the components are restored.
+        is_waiting_for_folder: Whether it was logged that another process has the folder.
+        exclusions: Which endpoints are out.
+    """
+
+    def __init__(self, loop, turn, record_files, fleet, components, node):
+        self.loop = loop
+        self.turn = turn
+        self.record_files = record_files
+        self.components = components
+        self.node = node
+        self.send_datagram = node.send_datagram
+        self.fleet_tag = framing.fleet_tag(fleet)
+        self.reassembler = framing.Reassembler(self.fleet_tag)
+        self.message_number = 0
+        self.disk_thread = ThreadPoolExecutor(1, "disk")
+        self.is_started = False
+        self.is_waiting_for_folder = False
+        self.exclusions = EndpointExclusions(node)
+        self._performers = {
+            actions.SendMessage: self._send_message,
+            actions.PersistRecord: self._persist_record,
+            actions.WakeAt: self._wake_at,
+            actions.ExcludeEndpoints: self._exclude_endpoints,
+            actions.AnswerCall: self._answer_call,
+            actions.LogEvent: self._log_event,
+        }
+
+    # The start: the folder first, as nothing may be said before it is known what was said.
+
+    def start(self, inherited):
+        """Starts the components as soon as this process has the folder.
+
+        Args:
+            inherited: Whether another process of this node serves and has passed its bans on. Without them
+                no endpoint is used until the components know which ones are out.
+
+        Raises:
+            ConfigurationError: The folder is another node's or cannot be used.
+        """
+        if not inherited:
+            self.exclusions.exclude_all(self.components)
+        self._open_folder(self.turn.clock())
+
+    def _open_folder(self, now):
+        try:
+            if not self.record_files.lock():
+                self._wait_for_folder(now)
+                return
+            stored_records = {
+                name: self.record_files.read(name)
+                for component in self.components
+                for name in component.record_files
+            }
+        except OSError as problem:
+            raise ConfigurationError(f"setting fleet.folder cannot be used: {problem.strerror}") from None
+        try:
+            for component in self.components:
+                component.restore(now, stored_records)
+        except ForeignRecordError as problem:
+            raise ConfigurationError(f"setting fleet.folder is not this node's: {problem}") from None
+        self.exclusions.take_over(self.components)
+        self.is_started = True
+        self._request_batch()
+
+    def _wait_for_folder(self, now):
+        if not self.is_waiting_for_folder:
+            logger.warning(
+                "fleet: another process has the folder, this one waits for it", event="folder-held"
+            )
+        self.is_waiting_for_folder = True
+        self.turn.at(now + LOCK_RETRY_INTERVAL, self._open_folder)
+
+    def _request_batch(self):
+        """Has the components asked for their actions."""
+        self.turn.put(do_nothing)
+
+    # What comes in.
+
+    def receive_datagram(self, now, sender, data):
+        """Takes another node's datagram."""
+        message = self.reassembler.take(sender, data)
+        if message is None or not self.is_started:
+            return
+        if not any(component.receive(now, sender, message) for component in self.components):
+            # A kind of a later build: left alone.
+            self.reassembler.undecodable_count += 1
+
+    def endpoints_changed(self, now, complete, rows):
+        """Passes the endpoint list or a change of it on; in these rows the second column is the address."""
+        without_address = [(name, *rest) for name, _, *rest in rows]
+        for component in self.components:
+            component.endpoints_changed(now, complete, without_address)
+        self.exclusions.apply(now)
+
+    def operator_call(self, caller, method, path, body):
+        """Passes an operator's call on; returns whether it is one of a component's."""
+        component = next((c for c in self.components if path.startswith(c.call_paths)), None)
+        if component is None:
+            return False
+        if not self.is_started:
+            caller.answer(503, "the folder is another process's for now")
+            return True
+        try:
+            content = orjson.loads(body) if body else None
+        except orjson.JSONDecodeError as problem:
+            caller.answer(400, f"the call is not JSON: {problem}")
+            return True
+        if content is not None and not isinstance(content, dict):
+            caller.answer(400, "the call is not a JSON object")
+            return True
+        self.turn.put(component.operator_call, caller, method, path, content)
+        return True
+
+    def operator_ban(self, now, name, is_banned):
+        """An operator bans an endpoint at this node or ends the ban; returns whether the node knows it."""
+        return self.exclusions.operator_ban(now, name, is_banned)
+
+    # What goes out.
+
+    def next_action(self, now):
+        """Returns the next component with an action, and the action; None where there is none."""
+        if not self.is_started:
+            return None
+        for component in self.components:
+            if component.watched_endpoints:
+                names = self.node.with_open_attempts(component.watched_endpoints)
+                component.open_attempts_reported(now, names)
+            action = component.next_action(now)
+            if action is not None:
+                return component, action
+        return None
+
+    def perform(self, now, component, action):
+        """Carries a component's action out."""
+        self._performers[type(action)](now, component, action)
+
+    def expire(self, now):
+        """Ends what ends by time alone; called right before a batch's requests are written.
+
+        The process may have been stopped since the batch began, and with it an exclusion be overdue.
+        """
+        if not self.is_started:
+            return
+        for component in self.components:
+            component.expire(now)
+            for exclusion in component.take_exclusions():
+                self.perform(now, component, exclusion)
+
+    def _send_message(self, now, component, action):
+        self.message_number += 1
+        for datagram in framing.pack(self.fleet_tag, self.message_number, action.message):
+            self.send_datagram(action.node, datagram)
+
+    def _persist_record(self, now, component, action):
+        """Writes in a thread: a disk that takes seconds does not hold the event loop up."""
+
+        def write():
+            try:
+                self.record_files.replace(action.file, action.data)
+            except OSError as problem:
+                return problem.strerror or str(problem)
+            return None
+
+        def report(future):
+            reason = future.result()
+            if reason:
+                logger.error("fleet: {file} is not kept: {why}", event="disk", file=action.file, why=reason)
+            succeeded = reason is None
+            self.turn.put(component.record_persisted, action.file, action.number, succeeded)
+
+        self.loop.run_in_executor(self.disk_thread, write).add_done_callback(report)
+
+    def _wake_at(self, now, component, action):
+        self.turn.at(action.at, do_nothing)
+
+    def _exclude_endpoints(self, now, component, action):
+        self.exclusions.request(now, component, action)
+
+    def _answer_call(self, now, component, action):
+        body = action.body if isinstance(action.body, str) else orjson.dumps(action.body).decode()
+        action.call.answer(action.status, body)
+
+    def _log_event(self, now, component, action):
+        text = " ".join(f"{key}={value}" for key, value in action.fields.items())
+        logger.bind(event=action.event, **action.fields).info("fleet: {} {}", action.event, text)
+
+    def close(self):
+        """Gives the folder back; a write under way is not waited for."""
+        self.disk_thread.shutdown(wait=False, cancel_futures=True)
+        self.record_files.close()
+
+
+def do_nothing(now):
+    """An input whose only effect is that a batch follows, in which the components are asked for actions."""
--- /dev/null
+++ b/grebedyke/service/fleet_assembly.py
@@ -0,0 +1,211 @@
+"""Makes a node one of a fleet: builds the components that its configuration names and connects them.
+
+Components are imported where their section is there: a node without pays nothing for them.
+"""
+
+import os
+
+from grebedyke.consensus import framing
+from grebedyke.consensus.consensus import Consensus
+from grebedyke.model import SeededRandom
+from grebedyke.service.component_host import LARGEST_CALL, ComponentHost, NodeAccess
+from grebedyke.service.record_files import RecordFiles
+from grebedyke.units import ticks
+
+
+def new_process_id():
+    """Returns a number that no other process has."""
+    return int.from_bytes(os.urandom(7), "little") + 1
+
+
+def build_components(configuration, process_id, now):
+    """Returns a node's components, in the order in which they are asked for actions.
+
+    Args:
+        configuration: The node's, as it was read.
+        process_id: A number that no other process has.
+        now: The node's clock, in ticks.
+    """
+    consensus = build_consensus(configuration, process_id)
+    components = [consensus]
+    if configuration["maintenance"] is not None:
+        components.append(build_maintenance(configuration, consensus))
+    if configuration["shares"] is not None:
+        components.append(build_rate_limits(configuration, consensus, now))
+    return components
+
+
+def build_consensus(configuration, process_id):
+    """Returns the consensus component."""
+    section = configuration["fleet"]
+    return Consensus(
+        SeededRandom(f"{configuration['seed']} {process_id}"),
+        section["name"],
+        node_id=int(configuration["settings"]["me"]),
+        node_count=len(configuration["peers"]),
+        founders=section["voters"],
+        process_id=process_id,
+        round_timeout=ticks(section["waitMs"]),
+    )
+
+
+def build_maintenance(configuration, consensus):
+    """Returns the maintenance component."""
+    from grebedyke.maintenance.component import Maintenance
+
+    settings = maintenance_settings(configuration["maintenance"], configuration["settings"])
+    return Maintenance(
+        consensus,
+        consensus.fleet,
+        consensus.node_id,
+        len(configuration["peers"]),
+        consensus.process_id,
+        settings,
+    )
+
+
+def maintenance_settings(section, settings):
+    """Returns the figures of the maintenance component out of its section and the decisions' settings."""
+    from grebedyke.maintenance.settings import MaintenanceSettings
+
+    rules = settings["rules"]
+    keyed_operations = [row for row in settings["operations"] if row["idempotency"] == "keyed"]
+    alone = section["aloneMs"]
+    return MaintenanceSettings(
+        lease=ticks(section["leaseMs"]),
+        drift=section["drift"],
+        drain_grace=ticks(rules["drainGraceMs"]),
+        warm_up_time=ticks(rules["rampTimeMs"]),
+        idempotency_window=max((ticks(row["windowMs"]) for row in keyed_operations), default=0),
+        idempotency_groups=tuple({row["group"] for row in keyed_operations}),
+        trust_stored_view_after=None if alone is None else ticks(alone),
+    )
+
+
+def build_rate_limits(configuration, consensus, now):
+    """Returns the component of the fleet's rate limits."""
+    from grebedyke.rate_limits import settings
+    from grebedyke.rate_limits.component import RateLimits
+
+    section = configuration["shares"]
+    operations = configuration["settings"]["operations"]
+    longest_timeout = max(ticks(row["clientTimeoutMs"]) for row in operations)
+    return RateLimits(
+        consensus,
+        consensus.node_id,
+        len(configuration["peers"]),
+        consensus.process_id,
+        settings.limits(section),
+        ticks(section["leaseMs"]),
+        section["drift"],
+        settings.hold(section, longest_timeout),
+        now,
+    )
+
+
+def join_fleet(node, record_files=None):
+    """Connects a node that is put together and has not started with the components of its configuration.
+
+    Args:
+        node: The node.
+        record_files: In place of the folder of the configuration, for a node that is tried under faults.
+    """
+    configuration = node.said
+    section = configuration["fleet"]
+    host = ComponentHost(
+        node.loop,
+        node.turn,
+        record_files or RecordFiles(section["folder"]),
+        section["name"],
+        build_components(configuration, new_process_id(), node.turn.clock()),
+        node_access(node),
+    )
+    connect_batches(node.turn, host)
+    connect_datagrams(node.peers, host)
+    node.desk.also_listed = host.endpoints_changed
+    console = node.console
+    console.by_hand = host.operator_ban
+    console.others = host.operator_call
+    console.largest = LARGEST_CALL
+    connect_rate_limits(node, host.components)
+    node.also = host
+
+
+def node_access(node):
+    """Returns what the components' host needs of a node."""
+    desk = node.desk
+
+    def with_open_attempts(names):
+        endpoints = node.pool.endpoints
+        return [name for name in names if name in endpoints and endpoints[name].flights]
+
+    return NodeAccess(
+        send_datagram=node.peers.send,
+        set_ban=node.console.by_hand,
+        with_open_attempts=with_open_attempts,
+        listed_names=lambda: desk.dispatcher.fleet.all,
+        banned_names=lambda: desk.dispatcher.fleet.banned,
+    )
+
+
+def connect_batches(turn, host):
+    """Has each batch of the event loop carry out the components' actions after the dispatcher's."""
+    next_decision = turn.decide
+    carry_decision = turn.carry
+
+    def next_action(now):
+        decision = next_decision(now)
+        return decision if decision is not None else host.next_action(now)
+
+    def carry_out(now, action):
+        if isinstance(action[0], str):
+            carry_decision(now, action)
+        else:
+            host.perform(now, *action)
+
+    turn.decide = next_action
+    turn.carry = carry_out
+    turn.last_look = host.expire
+
+
+def connect_datagrams(peers, host):
+    """Tells the components' datagrams from gossip by their first byte."""
+    receive_gossip = peers.heard
+    component_prefix = bytes([framing.VERSION])
+
+    def receive(now, sender, data):
+        if data[:1] == component_prefix:
+            host.receive_datagram(now, sender, data)
+        else:
+            receive_gossip(now, sender, data)
+
+    peers.heard = receive
+    peers.largest = framing.LARGEST_DATAGRAM
+
+
+def connect_rate_limits(node, components):
+    """Has the dispatcher ask for the fleet's limits, and a reload change them."""
+    rate_limits = next((component for component in components if hasattr(component, "gate")), None)
+    if rate_limits is None:
+        return
+    from grebedyke.rate_limits import settings
+
+    node.desk.dispatcher.shares.limits = rate_limits.gate
+    renew = node.renew
+    differs = node.differs
+
+    def renew_with_limits(configuration):
+        put_rest_in_force = renew(configuration)
+
+        def put_in_force(now):
+            put_rest_in_force(now)
+            if configuration["shares"] is not None:
+                rate_limits.retune(now, settings.limits(configuration["shares"]))
+
+        return put_in_force
+
+    def differs_in_limits_too(configuration):
+        return differs(configuration) or configuration["shares"] != node.said["shares"]
+
+    node.renew = renew_with_limits
+    node.differs = differs_in_limits_too
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -15,7 +15,7 @@
 from grebedyke.rig.fleet import Rig
 from grebedyke.rig.judge import Judge
 from grebedyke.rig.launch import LyingFiles
-from grebedyke.service.files import Files
+from grebedyke.service.record_files import RecordFiles
 from grebedyke.standin import talk
 
 # Each fault comes in some round: one that did not happen proves nothing.
@@ -130,7 +130,7 @@
 
 
 def test_a_folder_is_one_processes_and_one_nodes(tmp_path):
-    first, second = Files(str(tmp_path)), Files(str(tmp_path))
+    first, second = RecordFiles(str(tmp_path)), RecordFiles(str(tmp_path))
     assert first.lock() and not second.lock()
     first.replace("votes", b"one")
     assert first.read("votes") == b"one" and first.read("view") is None
