--- a/grebedyke/maintenance/commands.py
+++ b/grebedyke/maintenance/commands.py
@@ -39,6 +39,22 @@
     refused: bool = False
 
 
+def run_on_value(command, fields):
+    """Runs a command on the wire form of a rollout.
+
+    Args:
+        command: Called with the rollout; returns a `CommandResult`.
+        fields: The wire form, None where nobody has proposed a rollout yet.
+
+    Returns:
+        The wire form after the command, the same object where nothing changes, and the `CommandResult`.
+    """
+    before = Rollout.decode(fields)
+    result = command(before)
+    is_unchanged = fields and result.rollout is before
+    return (fields if is_unchanged else result.rollout.encode()), result
+
+
 def _refusal(rollout, reason):
     """Returns the result of a command that is refused."""
     return CommandResult(rollout, f"refused: {reason}", refused=True)
--- a/grebedyke/maintenance/component.py
+++ b/grebedyke/maintenance/component.py
@@ -1,12 +1,15 @@
 """The maintenance component: connects the view, its lease, the driver and the operators' calls. No I/O."""
 
+from functools import partial
+
 from grebedyke.consensus.component import Component
 from grebedyke.errors import ConfigurationError
 from grebedyke.maintenance import commands
-from grebedyke.maintenance.driver import CHECKS_PER_LEASE, Driver
+from grebedyke.maintenance.driver import Driver
 from grebedyke.maintenance.endpoints import EndpointList
 from grebedyke.maintenance.exclusions import Exclusions, excluded_endpoints
 from grebedyke.maintenance.messages import LeaseAnswer, LeaseRequest, MessageKind
+from grebedyke.maintenance.observations import Observations
 from grebedyke.maintenance.operator_calls import (
     CALL_PATH,
     NO_MAJORITY,
@@ -18,9 +21,9 @@
     describe_status,
     parse_call,
 )
-from grebedyke.maintenance.plan import read_plan
+from grebedyke.maintenance.plan_parser import parse_plan
 from grebedyke.maintenance.rollout import CONSENSUS_KEY, Rollout
-from grebedyke.maintenance.view_lease import ViewLease
+from grebedyke.maintenance.view_lease import LOST, ViewLease
 from grebedyke.maintenance.view_record import NOTHING_PERSISTED, RECORD_FILE, ViewRecord
 
 
@@ -37,6 +40,7 @@
         record: What of it is on the disk.
         exclusions: What the node excludes by it.
         endpoints: The endpoint list.
+        observations: What this node has seen of the others.
         driver: What this node does for the rollout when it is a voter.
         last_number: The number of the last lease request or write; both count in one sequence.
     """
@@ -56,7 +60,8 @@
         self.record = ViewRecord(fleet, node_id)
         self.exclusions = Exclusions(settings.drain_grace)
         self.endpoints = EndpointList()
-        self.driver = Driver(consensus, node_count, settings, self.endpoints)
+        self.observations = Observations(node_count, settings, self.endpoints)
+        self.driver = Driver(consensus, self.observations, settings.lease)
         self.last_number = 0
         self._started_at: int | None = None
         self._trusts_stored_view = False
@@ -89,7 +94,7 @@
             return
         before = self.rollout
         self.rollout = Rollout.decode(value)
-        self.driver.record_revision(now, self.rollout.revision)
+        self.observations.record_revision(now, self.rollout.revision)
         self.record.is_outdated = True
         self._log_changes(before)
         self.update_exclusions(now)
@@ -206,7 +211,7 @@
         A rollout that this voter has accepted may be in force without this node knowing; a majority of voters
         has accepted each that is, so that no node with an older one gets a majority of grants.
         """
-        self.driver.record_acknowledgement(now, sender, request.acknowledged_revision, request.process)
+        self.observations.record_acknowledgement(now, sender, request.acknowledged_revision, request.process)
         if not self.consensus.is_voting():
             return
         accepted = self.consensus.accepted_value(CONSENSUS_KEY)
@@ -258,28 +263,23 @@
     def _submit_plan(self, now, call, body):
         """Checks a plan against the present endpoint list and proposes it."""
         try:
-            plan = read_plan(body, self.endpoints.healthy(), self.node_count, self.consensus.members)
+            plan = parse_plan(body, self.endpoints.healthy(), self.node_count, self.consensus.members)
         except ConfigurationError as problem:
             self.answer_call(call, 400, str(problem))
             return
         self._propose_command(now, call, lambda rollout: commands.accept_plan(rollout, plan))
 
     def _propose_command(self, now, call, command):
-        """Proposes command(rollout), a `CommandResult`, and answers the call when the proposal has ended."""
-
-        def change(fields):
-            before = Rollout.decode(fields)
-            result = command(before)
-            is_unchanged = fields and result.rollout is before
-            return (fields if is_unchanged else result.rollout.encode()), result
-
-        def proposal_ended(now, result):
-            if result is None:
-                self.answer_call(call, 503, NO_MAJORITY)
-            else:
-                self.answer_call(call, 409 if result.refused else 200, result.text)
-
-        self.consensus.propose(now, CONSENSUS_KEY, change, proposal_ended)
+        """Proposes command(rollout), a `CommandResult`; the call is answered when the proposal has ended."""
+        change = partial(commands.run_on_value, command)
+        self.consensus.propose(now, CONSENSUS_KEY, change, partial(self._answer_command, call))
+
+    def _answer_command(self, call, now, result):
+        """Answers a call by the result of its command; None where it is not known what became of it."""
+        if result is None:
+            self.answer_call(call, 503, NO_MAJORITY)
+        else:
+            self.answer_call(call, 409 if result.refused else 200, result.text)
 
     # Actions.
 
@@ -301,8 +301,8 @@
     def _next_event_at(self, now):
         """Returns when something is due by time alone, in ticks."""
         times = [self.lease.next_request_at]
-        if self.lease.certain_until:
+        if self.lease.certain_until not in (None, LOST):
             times.append(self.lease.certain_until)
         if self.driver.has_work(self.rollout):
-            times.append(now + self.settings.lease // CHECKS_PER_LEASE)
+            times.append(now + self.driver.check_interval)
         return min(times)
--- a/grebedyke/maintenance/endpoints.py
+++ b/grebedyke/maintenance/endpoints.py
@@ -1,8 +1,8 @@
-"""The endpoint list as maintenance sees it: who is healthy, and since when each was seen. No I/O."""
+"""The endpoint list as maintenance needs it: who is healthy, and since when each is known. No I/O."""
 
 from typing import NamedTuple
 
-# When the endpoints of the first list were seen: they are taken to have been there for long.
+# When the endpoints of the first list came: they are taken to have been there for long.
 LONG_AGO = -(2**40)
 
 HEALTHY = "healthy"
@@ -46,15 +46,15 @@
         return self.state == HEALTHY
 
 
-class _Sighting(NamedTuple):
-    """When one start of an endpoint was first seen, in ticks of this node's clock."""
+class _Start(NamedTuple):
+    """One start of an endpoint, and when this node first heard of it, in ticks of its clock."""
 
     started: int
-    seen_at: int
+    first_listed_at: int
 
 
 class EndpointList:
-    """The newest endpoint list, and when this node first saw each endpoint's present start.
+    """The newest endpoint list, and since when this node knows each endpoint's present start.
 
     Attributes:
         listed: The endpoints on the list, by name.
@@ -63,7 +63,7 @@
     def __init__(self):
         self.listed: dict[str, ListedEndpoint] = {}
         # Kept for endpoints that have left the list, too: one that comes back unchanged is not new.
-        self._sightings: dict[str, _Sighting] = {}
+        self._starts: dict[str, _Start] = {}
         self._is_first_list = True
 
     def update(self, now, complete, rows):
@@ -82,10 +82,10 @@
                 continue
             endpoint = Endpoint(name, zone, kind, cell, weight)
             self.listed[name] = ListedEndpoint(endpoint, state, started)
-            sighting = self._sightings.get(name)
-            if sighting is None or sighting.started != started:
-                seen_at = LONG_AGO if self._is_first_list else now
-                self._sightings[name] = _Sighting(started, seen_at)
+            start = self._starts.get(name)
+            if start is None or start.started != started:
+                first_listed_at = LONG_AGO if self._is_first_list else now
+                self._starts[name] = _Start(started, first_listed_at)
         if rows:
             self._is_first_list = False
 
@@ -98,6 +98,6 @@
         listed = self.listed.get(name)
         return listed if listed is not None and listed.is_healthy else None
 
-    def seen_for_less_than(self, now, duration):
-        """Returns the names whose present start this node has seen for less than `duration` ticks."""
-        return {name for name, sighting in self._sightings.items() if now < sighting.seen_at + duration}
+    def recent(self, now, duration):
+        """Returns the names of endpoints whose present start is known for less than `duration` ticks."""
+        return {name for name, start in self._starts.items() if now < start.first_listed_at + duration}
--- a/grebedyke/maintenance/plan.py
+++ b/grebedyke/maintenance/plan.py
@@ -1,24 +1,11 @@
-"""A maintenance plan: what operators write, checked against the machines that there are. No I/O."""
+"""A maintenance plan: its machines, limits and wire form. No I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import StrEnum
-from hashlib import blake2s
 from typing import NamedTuple
 
-import msgpack
-from voluptuous import All, Any, In, Length, Optional, Required, Schema
-
-from grebedyke.checks import checked, number, whole
-from grebedyke.errors import ConfigurationError
-from grebedyke.units import ticks
-
 NODE_PREFIX = "node:"  # Begins the name of a machine that is a node.
-LONGEST_WORK_MS = 86_400_000
-MOST_MACHINES = 10_000
-# Lengths in bytes of the digests that name a plan and compare its contents.
-ID_DIGEST_SIZE = 6
-CONTENT_DIGEST_SIZE = 8
 # By how much sums of weights may miss a stated share for rounding alone.
 SHARE_TOLERANCE = 1e-9
 
@@ -159,134 +146,6 @@
         return fields | self.unknown_fields
 
 
-PLAN_SCHEMA = Schema(
-    {
-        Optional("id", default=None): Any(None, All(str, Length(min=1, max=64))),
-        # The machines: by name, or all executors of a zone or kind.
-        Optional("machines", default=list): [str],
-        Optional("zones", default=list): [str],
-        Optional("kinds", default=list): [str],
-        Required("most"): whole(1, MOST_MACHINES),
-        Optional("mostZone", default=None): Any(None, whole(1, MOST_MACHINES)),
-        Optional("mostKind", default=None): Any(None, whole(1, MOST_MACHINES)),
-        # Of all executors' slots, by their size in the list.
-        Optional("leastShare", default=0.5): number(0, 1),
-        Optional("after", default=dict): {str: [str]},
-        Required("workMs"): number(1, LONGEST_WORK_MS),
-        Optional("late", default="halt"): In(tuple(LatePolicy), msg="is neither halt nor go on"),
-        Optional("back", default="word"): In(tuple(ReturnSignal), msg="is neither word nor list"),
-        # Nodes of which the operators know that they are down and stay so.
-        Optional("without", default=list): [whole(0, MOST_MACHINES)],
-    }
-)
-
-
-def read_plan(body, endpoints, node_count, voters):
-    """Returns the plan that operators wrote.
-
-    Args:
-        body: What they wrote, as parsed from JSON.
-        endpoints: The healthy endpoints, sorted by name.
-        node_count: How many nodes the fleet has.
-        voters: The nodes that vote.
-
-    Raises:
-        ConfigurationError: The plan cannot be carried out; the message is one line for the operators.
-    """
-    settings = checked(PLAN_SCHEMA, body)
-    names = _names_taken_in(settings, endpoints)
-    machines = _find_machines(names, endpoints, node_count)
-    if any(node >= node_count for node in settings["without"]):
-        raise ConfigurationError(f"setting without names no node: {max(settings['without'])}")
-    order = order_machines(machines, settings["after"], voters)
-    total_weight = sum(endpoint.weight for endpoint in endpoints)
-    _check_weight_share(order, machines, total_weight, settings["leastShare"])
-    attributes = {
-        "order": tuple(order),
-        "machines": machines,
-        "predecessors": {name: others for name, others in settings["after"].items() if others},
-        "max_out": settings["most"],
-        "max_out_per_zone": settings["mostZone"],
-        "max_out_per_kind": settings["mostKind"],
-        "min_weight_share": settings["leastShare"],
-        "max_work": ticks(settings["workMs"]),
-        "late_policy": LatePolicy(settings["late"]),
-        "return_signal": ReturnSignal(settings["back"]),
-        "absent_nodes": tuple(sorted({*settings["without"]})),
-        "zone_counts": count_by(endpoints, "zone"),
-        "kind_counts": count_by(endpoints, "kind"),
-        "total_weight": total_weight,
-    }
-    return Plan(
-        id=settings["id"] or _digest_id(attributes),
-        content_digest=_digest(
-            [settings[key] for key in sorted(settings)],
-            CONTENT_DIGEST_SIZE,
-        ),
-        **attributes,
-    )
-
-
-def _names_taken_in(settings, endpoints):
-    """Returns the names of the plan's machines, those of zones and kinds behind those that are named."""
-    named = settings["machines"]
-    names = [*named]
-    interleaved = interleave_zones(endpoints)
-    for key, attribute in (("zones", "zone"), ("kinds", "kind")):
-        for index, wanted in enumerate(settings[key]):
-            found = [endpoint.name for endpoint in interleaved if getattr(endpoint, attribute) == wanted]
-            if not found:
-                raise ConfigurationError(f"setting {key}[{index}] names no machine: {wanted!r}")
-            names += found
-    if not names:
-        raise ConfigurationError("setting machines is missing")
-    if settings["zones"] or settings["kinds"]:
-        # Interleaved as a whole, so that the limit of one zone does not hold up machines of another.
-        positions = {endpoint.name: position for position, endpoint in enumerate(interleaved)}
-        names = [*named, *sorted({*names} - {*named}, key=positions.get)]
-    return names
-
-
-def _find_machines(names, endpoints, node_count):
-    """Returns the machines of these names; raises ConfigurationError for a name that there is not."""
-    listed = {endpoint.name: endpoint for endpoint in endpoints}
-    machines = {}
-    for index, name in enumerate(names):
-        if name.startswith(NODE_PREFIX):
-            digits = name.removeprefix(NODE_PREFIX)
-            if not digits.isdigit() or int(digits) >= node_count:
-                raise ConfigurationError(f"setting machines[{index}] is no node: {name!r}")
-            machines[name] = PLANNED_NODE
-        elif name in listed:
-            endpoint = listed[name]
-            machines[name] = PlannedMachine(endpoint.zone, endpoint.kind, endpoint.cell, endpoint.weight)
-        else:
-            raise ConfigurationError(f"setting machines[{index}] is on no list: {name!r}")
-    return machines
-
-
-def _check_weight_share(order, machines, total_weight, min_weight_share):
-    """Raises ConfigurationError where one machine alone is more than may be out."""
-    for name in order:
-        remaining_share = 1 - machines[name].weight / total_weight if total_weight else 0
-        if not is_node(name) and remaining_share < min_weight_share - SHARE_TOLERANCE:
-            raise ConfigurationError(
-                f"setting leastShare can never be met: without {name} {remaining_share:.2f} is left"
-            )
-
-
-def _digest_id(attributes):
-    """Returns the id of a plan that the operators gave none: the same plan handed in again has the same."""
-    fields = Plan(id="", content_digest="", **attributes).encode()
-    del fields["id"], fields["content"]
-    return _digest(fields, ID_DIGEST_SIZE)
-
-
-def _digest(value, size):
-    """Returns a hash of a plain value, in hexadecimal digits."""
-    return blake2s(msgpack.packb(value), digest_size=size).hexdigest()
-
-
 def node_name(node):
     """Returns the machine name of a node.
 
@@ -310,22 +169,6 @@
     return int(name.removeprefix(NODE_PREFIX))
 
 
-def interleave_zones(endpoints):
-    """Returns the endpoints ordered so that the zones take turns.
-
-    >>> from grebedyke.maintenance.endpoints import Endpoint
-    >>> endpoints = [Endpoint(name, zone, "", "", 1) for name, zone in zip("abcd", "1122")]
-    >>> [endpoint.name for endpoint in interleave_zones(endpoints)]
-    ['a', 'c', 'b', 'd']
-    """
-    seen = {}
-    by_turn = []
-    for endpoint in endpoints:
-        seen[endpoint.zone] = seen.get(endpoint.zone, 0) + 1
-        by_turn.append((seen[endpoint.zone], endpoint))
-    return [endpoint for _, endpoint in sorted(by_turn, key=lambda pair: pair[0])]
-
-
 def count_by(endpoints, attribute):
     """Returns how many endpoints there are by that attribute, in the order of the first of each.
 
@@ -338,33 +181,3 @@
         group = getattr(endpoint, attribute)
         counts[group] = counts.get(group, 0) + 1
     return counts
-
-
-def order_machines(machines, predecessors, voters):
-    """Returns the machines' names as written, but behind their predecessors, and voting nodes last.
-
-    Raises:
-        ConfigurationError: A predecessor is not in the plan, or they form a cycle.
-
-    >>> order_machines({"a": 0, "node:1": 0, "b": 0, "c": 0}, {"a": ["c"]}, [1])
-    ['b', 'c', 'a', 'node:1']
-    >>> order_machines({"a": 0, "b": 0}, {"a": ["b"], "b": ["a"]}, [])
-    Traceback (most recent call last):
-    grebedyke.errors.ConfigurationError: setting after goes in a circle at 'a'
-    """
-    for name, others in predecessors.items():
-        for other in (name, *others):
-            if other not in machines:
-                raise ConfigurationError(f"setting after names a machine that is not in the plan: {other!r}")
-    voting_machines = {node_name(voter) for voter in voters}
-    remaining = sorted(machines, key=lambda name: name in voting_machines)
-    order = []
-    while remaining:
-        ready = next(
-            (name for name in remaining if all(other in order for other in predecessors.get(name, ()))), None
-        )
-        if ready is None:
-            raise ConfigurationError(f"setting after goes in a circle at {remaining[0]!r}")
-        order.append(ready)
-        remaining.remove(ready)
-    return order
--- a/grebedyke/maintenance/view_lease.py
+++ b/grebedyke/maintenance/view_lease.py
@@ -7,6 +7,8 @@
 
 # How often within a lease a new one is requested.
 REQUESTS_PER_LEASE = 4
+# Stands for the end of a lease once it has been noticed that it is over.
+LOST = 0
 
 
 @dataclass(slots=True)
@@ -32,7 +34,7 @@
     Attributes:
         consensus: The node's consensus component, whose voters are asked.
         duration: How long a lease lasts, in ticks.
-        certain_until: The end of the newest lease, in ticks; None before the first one, 0 after one was lost.
+        certain_until: The end of the newest lease, in ticks; None before the first one, `LOST` after one was lost.
         next_request_at: When the next lease is requested, in ticks.
         pending_requests: Requests that may still be granted, by number.
     """
@@ -55,14 +57,14 @@
 
     def has_expired(self, now):
         """Returns whether the last lease has ended and `mark_lost` has not been called since."""
-        return self.certain_until is not None and self.certain_until != 0 and now >= self.certain_until
+        return self.certain_until not in (None, LOST) and now >= self.certain_until
 
     def mark_lost(self):
         """Notes that a lease was held and is no more."""
-        self.certain_until = 0
+        self.certain_until = LOST
 
     def requested_at(self):
-        """Returns when the newest lease was requested, None before the first one."""
+        """Returns when the lease was requested, None before the first one; no real time after one was lost."""
         return None if self.certain_until is None else self.certain_until - self.duration
 
     def start_request(self, now, number, revision):
@@ -93,5 +95,5 @@
         grant_count = len(pending.granted_by & {*voters})
         if grant_count < self.consensus.quorum_size() or answer.epoch != self.consensus.epoch:
             return None
-        self.certain_until = max(self.certain_until or 0, pending.sent_at + self.duration)
+        self.certain_until = max(self.certain_until or LOST, pending.sent_at + self.duration)
         return pending.revision
--- a/grebedyke/rig/broken.py
+++ b/grebedyke/rig/broken.py
@@ -8,10 +8,10 @@
 from grebedyke import errors
 from grebedyke.consensus import acceptor, consensus, records
 from grebedyke.consensus.consensus import Consensus, Round
-from grebedyke.maintenance import commands, driver, exclusions
+from grebedyke.maintenance import commands, exclusions, observations
 from grebedyke.maintenance.component import Maintenance
-from grebedyke.maintenance.driver import Driver
-from grebedyke.maintenance.progress import UnplannedLosses
+from grebedyke.maintenance.evidence import UnplannedLosses
+from grebedyke.maintenance.observations import Observations
 from grebedyke.maintenance.rollout import MachineState
 from grebedyke.maintenance.settings import MaintenanceSettings
 from grebedyke.maintenance.view_lease import ViewLease
@@ -34,7 +34,7 @@
 
 def lease_for_any_revision(self, now, sender, request):
     """The lease is granted whatever the node knows."""
-    self.driver.record_acknowledgement(now, sender, request.acknowledged_revision, request.process)
+    self.observations.record_acknowledgement(now, sender, request.acknowledged_revision, request.process)
     self.answer_lease_request(sender, request, granted=True)
 
 
@@ -88,9 +88,9 @@
     ],
     "numbers are not compared": [(commands, "confirm_machine_back", back_by_any_number)],
     "a spoilt file is taken for a new member's": [(Consensus, "restore", as_a_new_member)],
-    "back is taken for warm": [(Driver, "_is_warmed_up", lambda self, now, key: True)],
+    "back is taken for warm": [(Observations, "is_warmed_up", lambda self, now, key: True)],
     "losses without a plan are not counted": [
-        (driver, "unplanned_losses", lambda rollout, endpoints: UnplannedLosses()),
+        (observations, "unplanned_losses", lambda rollout, endpoints: UnplannedLosses()),
     ],
     "a lease is given to whoever asks": [
         (Maintenance, "lease_requested", lease_for_any_revision),
