--- a/grebedyke/maintenance/view_lease.py
+++ b/grebedyke/maintenance/view_lease.py
@@ -34,7 +34,8 @@
     Attributes:
         consensus: The node's consensus component, whose voters are asked.
         duration: How long a lease lasts, in ticks.
-        certain_until: The end of the newest lease, in ticks; None before the first one, `LOST` after one was lost.
+        certain_until: The end of the newest lease, in ticks; None before the first one, `LOST` once it is
+            over.
         next_request_at: When the next lease is requested, in ticks.
         pending_requests: Requests that may still be granted, by number.
     """
@@ -64,7 +65,7 @@
         self.certain_until = LOST
 
     def requested_at(self):
-        """Returns when the lease was requested, None before the first one; no real time after one was lost."""
+        """Returns when the lease was requested; None before the first one, no real time once it is over."""
         return None if self.certain_until is None else self.certain_until - self.duration
 
     def start_request(self, now, number, revision):
--- a/grebedyke/maintenance/view_record.py
+++ b/grebedyke/maintenance/view_record.py
@@ -51,7 +51,7 @@
         if not data:
             return Rollout()
         try:
-            rollout = Rollout.decode(records.content(self.fleet, self.node_id, data)["board"])
+            rollout = Rollout.decode(records.decode(self.fleet, self.node_id, data)["board"])
         except (CorruptRecordError, KeyError, TypeError, ValueError):
             return Rollout()
         self.persisted_revision = rollout.revision
@@ -65,7 +65,7 @@
         """Returns the action that writes the rollout."""
         self.is_outdated = False
         self._write = _Write(number, rollout.revision)
-        data = records.record(self.fleet, self.node_id, {"board": rollout.encode()})
+        data = records.encode(self.fleet, self.node_id, {"board": rollout.encode()})
         return PersistRecord(RECORD_FILE, number, data)
 
     def finish_write(self, now, number, succeeded):
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -32,7 +32,7 @@
 
 from grebedyke import errors
 from grebedyke.checks import checked
-from grebedyke.consensus import framing, records
+from grebedyke.consensus import framing, member_record, records
 from grebedyke.consensus.actions import SendMessage
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.maintenance.component import Maintenance
@@ -75,27 +75,27 @@
 
 
 def pack_frames(fleet, number, message):
-    return framing.pack(framing.mark(fleet), number, message)
+    return framing.pack(framing.fleet_tag(fleet), number, message)
 
 
 def read_frames(fleet, sender, datagrams):
     """The messages that the datagrams make whole, and how many of these were not understood."""
-    whole = framing.Whole(framing.mark(fleet))
+    whole = framing.Reassembler(framing.fleet_tag(fleet))
     messages = [whole.take(sender, datagram) for datagram in datagrams]
     return [message for message in messages if message is not None], whole.undecodable_count
 
 
 def pack_record(fleet, node, content):
-    return records.record(fleet, node, content)
+    return records.encode(fleet, node, content)
 
 
 def read_record(fleet, node, data):
-    return records.content(fleet, node, data)
+    return records.decode(fleet, node, data)
 
 
 def refuses_record(fleet, node, data):
     with pytest.raises((errors.CorruptRecordError, errors.ForeignRecordError)):
-        records.content(fleet, node, data)
+        records.decode(fleet, node, data)
     return True
 
 
@@ -109,8 +109,8 @@
     part.restore(0, {"votes": data})
     state, sent = part.state(), sent_by(part)
     # Only the phase is not taken over from the file.
-    part.voter.phase = read_record("f", node, data)["phase"]
-    return state, sent, pack_record("f", node, part.voter.kept_form())
+    part.acceptor.phase = read_record("f", node, data)["phase"]
+    return state, sent, pack_record("f", node, member_record.fields_of(part.acceptor))
 
 
 def view_recalled(node, nodes, data):
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -58,7 +58,7 @@
     """Until when a node is certain that requested a lease at 0 and was answered at `answered_at`."""
     consensus = Consensus(SeededRandom(1), "f", 0, 1, [0], 9, 500)
     component = Maintenance(consensus, "f", 0, 1, 9, make_settings())
-    consensus.voter.adopt(1, [0])
+    consensus.acceptor.adopt_members(1, [0])
     component.restore(0, {})
     component.request_lease(0)
     answer = LeaseAnswer(number=component.last_number, granted=True, epoch=1, voters=[0])
