--- a/grebedyke/service/fleet_assembly.py
+++ b/grebedyke/service/fleet_assembly.py
@@ -93,12 +93,9 @@
     return RateLimits(
         consensus,
         consensus.node_id,
-        len(configuration["peers"]),
         consensus.process_id,
-        settings.limits(section),
-        ticks(section["leaseMs"]),
-        section["drift"],
-        settings.hold(section, longest_timeout),
+        settings.limits_of(section),
+        settings.lease_terms(section, len(configuration["peers"]), longest_timeout),
         now,
     )
 
@@ -185,12 +182,12 @@
 
 def connect_rate_limits(node, components):
     """Has the dispatcher ask for the fleet's limits, and a reload change them."""
-    rate_limits = next((component for component in components if hasattr(component, "gate")), None)
+    rate_limits = next((component for component in components if hasattr(component, "request_limiter")), None)
     if rate_limits is None:
         return
     from grebedyke.rate_limits import settings
 
-    node.desk.dispatcher.shares.limits = rate_limits.gate
+    node.desk.dispatcher.shares.limits = rate_limits.request_limiter
     renew = node.renew
     differs = node.differs
 
@@ -200,7 +197,7 @@
         def put_in_force(now):
             put_rest_in_force(now)
             if configuration["shares"] is not None:
-                rate_limits.retune(now, settings.limits(configuration["shares"]))
+                rate_limits.change_limits(now, settings.limits_of(configuration["shares"]))
 
         return put_in_force
 
