--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -22,7 +22,7 @@
 import click
 
 from grebedyke.model import FULL, NO_CONNECTION, OK, RESET, TIMEOUT
-from grebedyke.service.configuration import open_dispatcher, terms
+from grebedyke.service.configuration import check_settings, open_dispatcher
 from grebedyke.standin.model import Worker
 from grebedyke.units import TICKS_PER_SECOND
 
@@ -88,8 +88,8 @@
             "tipAfterMs": self.tip / 10,
         }
 
-    def terms(self, me):
-        return terms(
+    def check_settings(self, me):
+        return check_settings(
             {
                 "balancers": self.n,
                 "me": me,
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -29,7 +29,7 @@
 from grebedyke.rate_limits.lease_terms import LeaseTerms
 from grebedyke.rig.limited import LimitedRequest
 from grebedyke.rig.world import World, maintenance_settings
-from grebedyke.service.configuration import open_dispatcher, terms
+from grebedyke.service.configuration import check_settings, open_dispatcher
 from grebedyke.service.log import Gauges
 from grebedyke.service.turn import Turn
 from grebedyke.standin.discovery import Discovery
@@ -422,7 +422,7 @@
     """A Dispatcher with as much of a host round it as sees to it that work starts and ends."""
 
     def __init__(self, executors, operations=2, tenants=34, nodes=760, probes=True):
-        conf = terms(settings(nodes, operations=operations, tenants=tenants, probes=probes))
+        conf = check_settings(settings(nodes, operations=operations, tenants=tenants, probes=probes))
         self.d, self.now, self.events, self.count, self.took = (
             open_dispatcher("b", conf),
             TICKS_PER_SECOND,
--- a/grebedyke/benchlink/adapter.py
+++ b/grebedyke/benchlink/adapter.py
@@ -11,7 +11,7 @@
 
 from grebedyke import model
 from grebedyke.errors import ConfigurationError, MalformedBatchError
-from grebedyke.service.configuration import open_dispatcher, terms
+from grebedyke.service.configuration import check_settings, open_dispatcher
 from grebedyke.units import ticks
 from grebedyke.wire import words
 
@@ -132,7 +132,7 @@
         try:
             if name == "boot":
                 dead.pop(node, None)
-                conf = terms(event.get("conf") or {})
+                conf = check_settings(event.get("conf") or {})
                 hosts[node] = open_dispatcher(event.get("prng", 0), conf)
                 reports[node] = conf["telemetry"]["fields"]
                 hosts[node].unlisted(now)
--- a/grebedyke/commands/fleet.py
+++ b/grebedyke/commands/fleet.py
@@ -64,11 +64,11 @@
 @node
 def plan(path, nodes):
     """Gives the fleet the plan in the file PATH (JSON or TOML). Given twice it is the same plan."""
-    from grebedyke.checks import ConfigurationError
-    from grebedyke.service.configuration import parse_plain
+    from grebedyke.errors import ConfigurationError
+    from grebedyke.service.configuration import parse_plain_file
 
     try:
-        said = parse_plain(Path(path).read_bytes(), path)
+        said = parse_plain_file(Path(path).read_bytes(), path)
     except OSError as problem:
         fail(f"{path}: {problem.strerror}")
     except ConfigurationError as problem:
--- a/grebedyke/commands/main.py
+++ b/grebedyke/commands/main.py
@@ -54,10 +54,10 @@
       grebedyke check node.toml --explain
     """
     from grebedyke.service import configuration
-    from grebedyke.service.configuration import schema as known
+    from grebedyke.service.configuration import reference_page, schema_keys
 
     if schema:
-        for line in known.page(configuration.all_keys()):
+        for line in reference_page.page_lines(schema_keys.all_keys()):
             click.echo(line)
         return
     environ = {**os.environ, **({"BALANCER_CONFIG": path} if path else {})}
@@ -68,21 +68,21 @@
         fail(where(path, problem))
     if explain:
         with open(path, "rb") as file:
-            tree = configuration.parse(file.read(), path)
-        for at, value, origin in configuration.in_force(environ, said, tree):
+            tree = configuration.parse_node_file(file.read(), path)
+        for at, value, origin in configuration.values_in_force(environ, said, tree):
             click.echo(f"{at} = {json.dumps(value, default=str, ensure_ascii=False)}   ({origin})")
 
 
 def where(path, problem):
     """File, line, key and reason in one line."""
-    from grebedyke.service.configuration import spelled
+    from grebedyke.service.configuration import source_lines
 
     text = str(problem).replace("BALANCER_CONFIG ", "").replace("BALANCER_CONFIG: ", "")
     if not path or not problem.path:
         return f"{path}: {text}" if path else str(problem)
     try:
         with open(path, encoding="utf-8") as file:
-            find = spelled.line_of if path.endswith(".toml") else spelled.line_of_json
+            find = source_lines.line_in_toml if path.endswith(".toml") else source_lines.line_in_json
             return f"{path}:{find(file.read(), problem.path)}: {text}"
     except (OSError, UnicodeDecodeError):
         return f"{path}: {text}"
--- a/grebedyke/consensus/settings.py
+++ b/grebedyke/consensus/settings.py
@@ -2,8 +2,8 @@
 
 from voluptuous import All, Length, Optional, Required
 
-from grebedyke.checks import number, table, whole
 from grebedyke.errors import ConfigurationError
+from grebedyke.validation import integer, number, table
 
 SECTION = table(
     {
@@ -12,7 +12,7 @@
         # For this node alone: its votes have to outlast its process.
         Required("folder"): All(str, Length(min=1)),
         # By number, the same at all nodes. Counts at the first start; later changes are agreed on.
-        Required("voters"): [whole(0, 10_000)],
+        Required("voters"): [integer(0, 10_000)],
         Optional("waitMs", default=200): number(5, 10_000),
     }
 )
--- a/grebedyke/maintenance/plan_parser.py
+++ b/grebedyke/maintenance/plan_parser.py
@@ -5,7 +5,6 @@
 import msgpack
 from voluptuous import All, Any, In, Length, Optional, Required, Schema
 
-from grebedyke.checks import checked, number, whole
 from grebedyke.errors import ConfigurationError
 from grebedyke.maintenance.plan import (
     NODE_PREFIX,
@@ -20,6 +19,7 @@
     node_name,
 )
 from grebedyke.units import ticks
+from grebedyke.validation import integer, number, validate
 
 LONGEST_WORK_MS = 86_400_000
 MOST_MACHINES = 10_000
@@ -34,9 +34,9 @@
         Optional("machines", default=list): [str],
         Optional("zones", default=list): [str],
         Optional("kinds", default=list): [str],
-        Required("most"): whole(1, MOST_MACHINES),
-        Optional("mostZone", default=None): Any(None, whole(1, MOST_MACHINES)),
-        Optional("mostKind", default=None): Any(None, whole(1, MOST_MACHINES)),
+        Required("most"): integer(1, MOST_MACHINES),
+        Optional("mostZone", default=None): Any(None, integer(1, MOST_MACHINES)),
+        Optional("mostKind", default=None): Any(None, integer(1, MOST_MACHINES)),
         # Of all executors' slots, by their size in the list.
         Optional("leastShare", default=0.5): number(0, 1),
         Optional("after", default=dict): {str: [str]},
@@ -44,7 +44,7 @@
         Optional("late", default="halt"): In(tuple(LatePolicy), msg="is neither halt nor go on"),
         Optional("back", default="word"): In(tuple(ReturnSignal), msg="is neither word nor list"),
         # Nodes of which the operators know that they are down and stay so.
-        Optional("without", default=list): [whole(0, MOST_MACHINES)],
+        Optional("without", default=list): [integer(0, MOST_MACHINES)],
     }
 )
 
@@ -61,7 +61,7 @@
     Raises:
         ConfigurationError: The plan cannot be carried out; the message is one line for the operators.
     """
-    settings = checked(PLAN_SCHEMA, body)
+    settings = validate(PLAN_SCHEMA, body)
     names = _collect_names(settings, endpoints)
     machines = _find_machines(names, endpoints, node_count)
     if any(node >= node_count for node in settings["without"]):
--- a/grebedyke/maintenance/settings.py
+++ b/grebedyke/maintenance/settings.py
@@ -4,14 +4,14 @@
 
 from voluptuous import Optional
 
-from grebedyke.checks import maybe, number, table
 from grebedyke.errors import ConfigurationError
+from grebedyke.validation import nullable, number, table
 
 SECTION = table(
     {
         Optional("leaseMs", default=2_000): number(100, 600_000),
         Optional("drift", default=0.02): number(0, 0.2),
-        Optional("aloneMs", default=None): maybe(number(0, 86_400_000)),
+        Optional("aloneMs", default=None): nullable(number(0, 86_400_000)),
     }
 )
 
--- a/grebedyke/rate_limits/settings.py
+++ b/grebedyke/rate_limits/settings.py
@@ -4,11 +4,11 @@
 
 from voluptuous import All, Any, Length, Optional, Required
 
-from grebedyke.checks import maybe, number, table, whole
 from grebedyke.errors import ConfigurationError
 from grebedyke.rate_limits.definitions import Limit, LimitKind
 from grebedyke.rate_limits.lease_terms import LeaseTerms
 from grebedyke.units import ticks
+from grebedyke.validation import integer, nullable, number, table
 
 # Floors are decimal fractions; their sum may exceed the limit by what rounding makes of it.
 _ROUNDING = 1e-9
@@ -18,14 +18,14 @@
         Optional("leaseMs", default=2_000): number(100, 600_000),
         Optional("drift", default=0.02): number(0, 0.2),
         # How long an executor may run on what it was sent by a node that has died since.
-        Optional("runMs", default=None): maybe(number(0, 86_400_000)),
+        Optional("runMs", default=None): nullable(number(0, 86_400_000)),
         Optional("limits", default=list): [
             table(
                 {
                     Required("name"): All(str, Length(min=1, max=64)),
-                    Optional("rate", default=None): maybe(number(0.001, 1e6)),
-                    Optional("burst", default=None): maybe(whole(1, 1_000_000)),
-                    Optional("underWay", default=None): maybe(whole(1, 1_000_000)),
+                    Optional("rate", default=None): nullable(number(0.001, 1e6)),
+                    Optional("burst", default=None): nullable(integer(1, 1_000_000)),
+                    Optional("underWay", default=None): nullable(integer(1, 1_000_000)),
                     Optional("floor", default=0): number(0, 1e6),
                     Optional("tenant", default=None): Any(None, str),
                     Optional("operation", default=None): Any(None, str),
--- a/grebedyke/service/configuration/__init__.py
+++ b/grebedyke/service/configuration/__init__.py
@@ -1,19 +1,21 @@
-"""The one place where what is told at start is read, checked and given defaults.
+"""A node's configuration: reads it, checks it, completes it with defaults, and builds the dispatcher from it.
 
-The same settings come in the simulator's first message and in a node's configuration; both end here.
+The settings of a deployment, which the decisions depend on, come in the simulator's first message or in a
+node's file; both go through the same schema.
 """
 
 from grebedyke.errors import ConfigurationError
-from grebedyke.service.configuration.reading import all_keys, in_force, parse, parse_plain, read_node
-from grebedyke.service.configuration.terms import open_dispatcher, terms
+from grebedyke.service.configuration.file_parsing import parse_node_file, parse_plain_file
+from grebedyke.service.configuration.node_configuration import read_node, values_in_force
+from grebedyke.service.configuration.settings_schema import check_settings
+from grebedyke.service.configuration.terms import open_dispatcher
 
 __all__ = [
     "ConfigurationError",
-    "all_keys",
-    "in_force",
+    "check_settings",
     "open_dispatcher",
-    "parse",
-    "parse_plain",
+    "parse_node_file",
+    "parse_plain_file",
     "read_node",
-    "terms",
+    "values_in_force",
 ]
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -9,10 +9,10 @@
 import orjson
 from helpers import news
 
-from grebedyke.checks import checked
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import assemble
-from grebedyke.service.configuration.reading import NODE
+from grebedyke.service.configuration.node_schema import NODE_SCHEMA
+from grebedyke.validation import validate
 
 OPERATION = {
     "name": "op",
@@ -208,8 +208,8 @@
         loop = asyncio.get_running_loop()
         self.gate = Gate(loop, *self.gated) if self.gated else None
         settings = {**TERMS, **self.more}
-        said = checked(
-            NODE,
+        said = validate(
+            NODE_SCHEMA,
             {
                 "name": "n1",
                 "listen": self.listen or "127.0.0.1:%d" % free_port(),
@@ -219,7 +219,7 @@
                 "folder": self.folder,
             },
         )
-        said["settings"] = configuration.terms(said["settings"])
+        said["settings"] = configuration.check_settings(said["settings"])
         self.said, self.address = said, said["listen"]
         self.node = assemble(loop, said, self.read_again or (lambda: said))
         self.desk, self.turn, self.pool, self.door = (
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -144,7 +144,7 @@
         return {**TERMS, "rules": {**TERMS["rules"], **rules}}
 
     whole = {"extraFloor": 2, "resendRatio": 0.2, "lookBackMs": 5000}
-    assert configuration.terms(terms(**whole))["rules"]["lookBackMs"] == 5000
+    assert configuration.check_settings(terms(**whole))["rules"]["lookBackMs"] == 5000
     cases = [
         ({**whole, key: value}, key, "out of its range")
         for key, value in (
@@ -166,7 +166,7 @@
     ]
     for rules, key, word in cases:
         with pytest.raises(configuration.ConfigurationError) as problem:
-            configuration.terms(terms(**rules), "settings.")
+            configuration.check_settings(terms(**rules), "settings.")
         assert f"settings.rules.{key} " in str(problem.value) and word in str(problem.value), rules
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -31,7 +31,6 @@
     sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from grebedyke import errors
-from grebedyke.checks import checked
 from grebedyke.consensus import framing, member_record, records
 from grebedyke.consensus.actions import SendMessage
 from grebedyke.consensus.consensus import Consensus
@@ -40,9 +39,10 @@
 from grebedyke.rig import limited, world
 from grebedyke.service import configuration
 from grebedyke.service.assembly import assemble
-from grebedyke.service.configuration.reading import NODE
+from grebedyke.service.configuration.node_schema import NODE_SCHEMA
 from grebedyke.service.handover import Channel
 from grebedyke.units import TICKS_PER_SECOND
+from grebedyke.validation import validate
 from grebedyke.wire import words
 from grebedyke.wire.discovery import entries
 
@@ -198,8 +198,8 @@
     NOW = 10**12  # far after the event loop's own time: no timer rings
 
     def __init__(self, loop, folder, known):
-        said = checked(NODE, {**NODE_FILE, "folder": str(folder), "known": known})
-        said["settings"] = configuration.terms(said["settings"])
+        said = validate(NODE_SCHEMA, {**NODE_FILE, "folder": str(folder), "known": known})
+        said["settings"] = configuration.check_settings(said["settings"])
         self.loop, self.node = loop, assemble(loop, said, lambda: said, clock=lambda: self.NOW)
         self.node.turn.marks.extend([self.NOW] * 3)
         self.node.desk.shift = self.NOW - 50_000
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -9,7 +9,7 @@
 
 from grebedyke.commands.main import cli
 from grebedyke.service import configuration
-from grebedyke.service.configuration import schema
+from grebedyke.service.configuration import reference_page, schema_keys
 
 TEXT = """\
 name = "n1"
@@ -51,11 +51,13 @@
     return configuration.read_node({"BALANCER_CONFIG": str(tmp_path / name)})
 
 
-def test_toml_says_what_the_json_file_would_say(tmp_path):
-    said = read(tmp_path, TEXT)
-    conf = said["settings"]
-    assert said["counts"] == 60 and conf["tickMs"] == 5 and conf["rules"]["coldFrom"] == 0.31
-    assert conf["rules"]["rampTimeMs"] == 8600 and conf["operations"][0]["latencyObjectiveMs"] == 250
+def test_toml_gives_the_same_configuration_as_json(tmp_path):
+    node_configuration = read(tmp_path, TEXT)
+    settings = node_configuration["settings"]
+    assert node_configuration["counts"] == 60
+    assert settings["tickMs"] == 5 and settings["rules"]["coldFrom"] == 0.31
+    assert settings["rules"]["rampTimeMs"] == 8600
+    assert settings["operations"][0]["latencyObjectiveMs"] == 250
     plain = {
         "name": "n1",
         "listen": "127.0.0.1:9000",
@@ -79,7 +81,7 @@
             },
         },
     }
-    assert read(tmp_path, orjson.dumps(plain), "node.json") == said
+    assert read(tmp_path, orjson.dumps(plain), "node.json") == node_configuration
 
 
 def test_check_names_file_line_key_and_reason_in_one_line(tmp_path):
@@ -104,13 +106,13 @@
         text = TEXT.replace(before, after, 1)
         (tmp_path / "node.toml").write_text(text)
         result = CliRunner().invoke(cli, ("check", str(tmp_path / "node.toml")))
-        said = result.output.strip()
-        assert result.exit_code == 2 and "\n" not in said and words in said, (after, said)
+        message = result.output.strip()
+        assert result.exit_code == 2 and "\n" not in message and words in message, (after, message)
         line = 1 + text[: text.index(after)].count("\n")
-        assert words == "not TOML" or f"node.toml:{line}: " in said, (after, said)
+        assert words == "not TOML" or f"node.toml:{line}: " in message, (after, message)
 
 
-def test_files_that_are_none(tmp_path):
+def test_files_that_are_no_configuration_are_refused_in_one_line(tmp_path):
     (tmp_path / "folder.toml").mkdir()
     text = orjson.dumps(told(), option=orjson.OPT_INDENT_2).decode()
     for name, data, words in (
@@ -152,19 +154,19 @@
 
 
 def test_the_page_of_all_keys_is_current_and_says_what_each_is_for():
-    rows = configuration.all_keys()
-    page = "\n".join(schema.page(rows)) + "\n"
+    keys = schema_keys.all_keys()
+    page = "\n".join(reference_page.page_lines(keys)) + "\n"
     assert (Path(__file__).parent.parent / "docs" / "configuration.md").read_text() == page
-    assert [key.path for key in rows if schema.why(key.path) is None] == []
+    assert [key.path for key in keys if reference_page.purpose(key.path) is None] == []
 
 
-def test_what_the_platform_tells_beside_is_still_let_through_in_json(tmp_path):
-    said = told(settings={**TERMS, "novel": 1, "zones": ["a"]}, more={"x": 2})
-    assert read(tmp_path, orjson.dumps(said), "node.json")["settings"]["tickMs"] == 5
+def test_additional_keys_of_the_platform_pass_in_json(tmp_path):
+    tree = told(settings={**TERMS, "novel": 1, "zones": ["a"]}, more={"x": 2})
+    assert read(tmp_path, orjson.dumps(tree), "node.json")["settings"]["tickMs"] == 5
     with pytest.raises(configuration.ConfigurationError, match="setting novel is unknown"):
         read(tmp_path, "novel = 1\n" + TEXT)
 
 
 def test_the_operators_file_of_a_fleet_is_sound():
-    got = CliRunner().invoke(cli, ["check", "deploy/fleet.toml"])
-    assert (got.exit_code, got.output) == (0, "")
+    result = CliRunner().invoke(cli, ["check", "deploy/fleet.toml"])
+    assert (result.exit_code, result.output) == (0, "")
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -65,11 +65,11 @@
         "tickMs": 2,
         "operations": [{**TERMS["operations"][0], "idempotency": "safe", "latencyObjectiveMs": 20_000}],
     }
-    d = configuration.open_dispatcher("1", configuration.terms(orjson.loads(orjson.dumps(terms))))
+    d = configuration.open_dispatcher("1", configuration.check_settings(orjson.loads(orjson.dumps(terms))))
     d.listed(10, True, [(f"s-{i}", "a", "m", 0, "healthy", 0, 1) for i in range(3)])
     d.taken(100, b"r1", "op", None, 80_100, 0, 1)
     ((_, id, first, _),) = pull(d, 100, "forward")
-    switch(200, d, configuration.open_dispatcher("1", configuration.terms({**terms, "tickMs": 20})))
+    switch(200, d, configuration.open_dispatcher("1", configuration.check_settings({**terms, "tickMs": 20})))
     over = 80_100 - 3 * 200
     d.ended(over, id, 0, TIMEOUT, False)
     assert [x[0] for x in pull(d, over)] == ["throttle"]
@@ -81,7 +81,7 @@
 def test_short_client_timeouts_leave_time_for_a_forward(tick, shortest, left):
     # Steps of four ticks each before the due time ate 100 ms at ticks of 10 ms: nearly all was given up.
     terms = paced(
-        configuration.terms(
+        configuration.check_settings(
             {
                 **TERMS,
                 "tickMs": tick,
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,11 +9,11 @@
 from loguru import logger
 from test_service import EFFECTS, ROW, TERMS, Worker, ask, free_port, told
 
-from grebedyke.checks import checked
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import assemble
-from grebedyke.service.configuration.reading import NODE
+from grebedyke.service.configuration.node_schema import NODE_SCHEMA
 from grebedyke.service.handover import PIECE, Channel, Handover
+from grebedyke.validation import validate
 
 
 def pair(heard):
@@ -125,8 +125,8 @@
                 known={"index": 1, "endpoints": known},
                 settings={**TERMS, "operations": EFFECTS},
             )
-            said = checked(NODE, said)
-            said["settings"] = configuration.terms(said["settings"])
+            said = validate(NODE_SCHEMA, said)
+            said["settings"] = configuration.check_settings(said["settings"])
             work = assemble(loop, said, lambda: said)
             return work, loop.create_task(work.serve()), said["console"]
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,7 +8,6 @@
 from click.testing import CliRunner
 from helpers import dispatcher, pull, rows
 
-from grebedyke.checks import checked
 from grebedyke.commands.main import cli
 from grebedyke.consensus.actions import SendMessage
 from grebedyke.errors import ConfigurationError
@@ -27,6 +26,7 @@
 from grebedyke.rig import broken, limited, rounds
 from grebedyke.rig.fleet import Rig
 from grebedyke.rig.judge import Judge
+from grebedyke.validation import validate
 
 # Ten requests a second, a burst of ten.
 LIMIT = Limit("l", LimitKind.RATE, 10_000, 10, 0, None, None, False)
@@ -295,7 +295,7 @@
 def test_faulty_limits_are_refused_by_key(limits, message):
     """What would not work, or not as it was meant, is refused by one line that names its key."""
     with pytest.raises(ConfigurationError) as problem:
-        section = checked(settings.SECTION, {"limits": limits}, "shares.")
+        section = validate(settings.SECTION, {"limits": limits}, "shares.")
         settings.check(section, FLEET, 3, ["hold"], ["t"], 200)
     assert message in str(problem.value)
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -10,13 +10,13 @@
 from helpers import HAND_IN, NOW, Loop, Told, floor, join, news, say, still
 from loguru import logger
 
-from grebedyke.checks import checked
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import assemble
-from grebedyke.service.configuration.reading import NODE
+from grebedyke.service.configuration.node_schema import NODE_SCHEMA
 from grebedyke.service.log import Gauges
 from grebedyke.service.switch import switch
 from grebedyke.service.turn import Turn
+from grebedyke.validation import validate
 from grebedyke.wire.discovery import Agent, Watch
 from grebedyke.wire.peers import Peers
 
@@ -192,8 +192,10 @@
 
     async def story(calls_back):
         executor = await Executor().start()
-        said = checked(NODE, told(known={"index": 1, "endpoints": [{**ROW, "address": executor.address}]}))
-        said["settings"] = configuration.terms(said["settings"])
+        said = validate(
+            NODE_SCHEMA, told(known={"index": 1, "endpoints": [{**ROW, "address": executor.address}]})
+        )
+        said["settings"] = configuration.check_settings(said["settings"])
         work = assemble(asyncio.get_running_loop(), said, None)
         serving, address = asyncio.create_task(work.serve()), said["listen"]
         while work.phase != node.Phase.SERVING:
@@ -639,8 +641,8 @@
 def test_a_switch_takes_every_term_over_and_back():
     # Guards against a setting that a part copies at start and keeps: half of the old ones would stay in
     # force.
-    one = configuration.terms(orjson.loads(orjson.dumps(TERMS)))
-    two = configuration.terms(
+    one = configuration.check_settings(orjson.loads(orjson.dumps(TERMS)))
+    two = configuration.check_settings(
         {
             **TERMS,
             "balancers": 70,
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -65,7 +65,7 @@
 
 def graces(drain, mode):
     rules = {**TERMS["rules"], "drainGraceMs": drain}
-    return parts_of(configuration.terms({**TERMS, "rules": rules, "registryMode": mode}))[3]
+    return parts_of(configuration.check_settings({**TERMS, "rules": rules, "registryMode": mode}))[3]
 
 
 @pytest.mark.parametrize("drain", (0, 50, 300, 700, 2000, 30_000, 10**7))
