--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -21,9 +21,9 @@
 
 import click
 
+from grebedyke.emulators.executor_model import ExecutorModel, ExecutorSettings
 from grebedyke.model import FULL, NO_CONNECTION, OK, RESET, TIMEOUT
 from grebedyke.service.configuration import check_settings, open_dispatcher
-from grebedyke.standin.model import Worker
 from grebedyke.units import TICKS_PER_SECOND
 
 SIZES = 1, 5, 30
@@ -48,7 +48,7 @@
 
     def __init__(self, id, worker, born, weight):
         self.id, self.worker, self.born, self.weight, self.up = id, worker, born, weight, True
-        self.power, self.window, self.report = worker.slots * worker.speed, deque(), (0, 0)
+        self.power, self.window, self.report = worker.settings.slots * worker.settings.speed, deque(), (0, 0)
 
 
 class Round:
@@ -88,7 +88,7 @@
             "tipAfterMs": self.tip / 10,
         }
 
-    def check_settings(self, me):
+    def terms(self, me):
         return check_settings(
             {
                 "balancers": self.n,
@@ -137,16 +137,16 @@
         slots = self.random.choice((1, 2, 4, 8, 16)) if self.unlike else self.slots
         speed = self.random.uniform(0.7, 1.3) if self.unlike else 1
         # Here is only counted what would fell it: a fall would hide all that comes after.
-        worker = Worker(
-            slots,
-            speed,
+        settings = ExecutorSettings(
+            slots=slots,
+            speed=speed,
             queue=4 * slots,
-            cold=self.cold_from,
-            ramp=self.ramp / TICKS_PER_SECOND,
-            multiple=inf,
-            window=0,
-            born=born / TICKS_PER_SECOND,
+            cold_capacity=self.cold_from,
+            warm_up_time=self.ramp / TICKS_PER_SECOND,
+            overload_multiple=inf,
+            idempotency_window=0,
         )
+        worker = ExecutorModel(settings, born / TICKS_PER_SECOND)
         weight = slots * speed * self.random.uniform(0.8, 1.25) if self.unlike else 1
         host = Host(f"s-{next(self.ids)}", worker, born, weight)
         self.hosts[host.id] = host
@@ -277,7 +277,7 @@
     def reports(self):
         """What reports say is up to half a second old."""
         for host in self.hosts.values():
-            report = host.worker.report()
+            report = host.worker.load_report()
             host.report = report["x0"], report["inflight"]
         self.later(self.now + TICKS_PER_SECOND // 2, self.reports)
 
@@ -290,10 +290,10 @@
         self.sent += 1
         self.weigh(host, work / self.mean, known >= host.born)
         job = node, dispatcher, id, n
-        said = host.worker.take(self.now / TICKS_PER_SECOND, job, "", "op", work)
-        if said == "full":
+        said = host.worker.submit(self.now / TICKS_PER_SECOND, job, "", "op", work)
+        if said == "rejected":
             self.later(self.now + WAY, self.tell, node, dispatcher, "ended", id, n, FULL, False, 0)
-        elif said == "began":
+        elif said == "started":
             self.began(host, job)
 
     def began(self, host, job):
@@ -305,12 +305,12 @@
     def finish(self, host, born):
         if not host.up or host.born != born:
             return
-        free = host.worker.report()["x0"]
-        for done in host.worker.finished(self.now / TICKS_PER_SECOND):
+        free = host.worker.load_report()["x0"]
+        for done in host.worker.take_finished(self.now / TICKS_PER_SECOND):
             node, dispatcher, id, n = done.id
             self.done += 1
             self.later(self.now + WAY, self.tell, node, dispatcher, "ended", id, n, OK, True, free)
-        for job in host.worker.started(self.now / TICKS_PER_SECOND):
+        for job in host.worker.start_waiting(self.now / TICKS_PER_SECOND):
             self.began(host, job.id)
 
     def replace(self, many, back):
@@ -349,7 +349,7 @@
     # The judge.
 
     def weigh(self, host, calls, told):
-        warmth = host.worker.warmth(self.now / TICKS_PER_SECOND)
+        warmth = host.worker.capacity(self.now / TICKS_PER_SECOND)
         if warmth >= 1:
             return
         self.cold += 1
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -10,10 +10,10 @@
 
 from benchmarks.capacity import cpu
 from benchmarks.roles import listing, row, settings
+from grebedyke.emulators import http_messages
+from grebedyke.emulators.discovery import DiscoveryEmulator
 from grebedyke.load.fleet import free_port
 from grebedyke.service.configuration import open_dispatcher, read_node
-from grebedyke.standin import talk
-from grebedyke.standin.discovery import Discovery
 
 READY = 30.0
 
@@ -48,7 +48,7 @@
     """Resident memory of a node process that has its list and serves nobody, and its CPU."""
 
     async def play():
-        discovery = await Discovery().listen()
+        discovery = await DiscoveryEmulator().listen()
         known = json.loads(listing(executors, discovery))
         with tempfile.TemporaryDirectory(prefix="grebedyke-") as folder:
             own = "127.0.0.1", free_port()
@@ -69,7 +69,7 @@
             )
             try:
                 async with asyncio.timeout(READY):
-                    while (await talk.call(own, "GET /up HTTP/1.1", wait=0.5))[0] != 200:
+                    while (await http_messages.call(own, "GET", "/up", timeout=0.5)).status != 200:
                         await asyncio.sleep(0.1)
                 await asyncio.sleep(1.0)
                 before = cpu(child.pid)
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -19,10 +19,10 @@
 import click
 
 from benchmarks.capacity import cpu
+from grebedyke.emulators import http_messages
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
 from grebedyke.load.fleet import Fleet
-from grebedyke.standin import talk
 
 VIEW = shape.Operation("view", "safe", 4.0)
 DISCOVERY = "answers", "silent", "down"
@@ -77,7 +77,7 @@
         return at, await asyncio.gather(*(self.back(name, wait) for name in self.nodes))
 
     async def silence(self, discovery):
-        self.discovery.down = discovery == "silent"
+        self.discovery.is_silent = discovery == "silent"
         if discovery == "down":
             await self.discovery.close()
         elif self.discovery.server is None:
@@ -88,7 +88,7 @@
         start = clock()
         process = await self.spawn(name)
         while process.returncode is None and clock() < start + wait:
-            if (await talk.call(self.nodes[name], "GET /up HTTP/1.1", wait=wait))[0] == 200:
+            if (await http_messages.call(self.nodes[name], "GET", "/up", timeout=wait)).status == 200:
                 return clock() - start, cpu(process.pid)
             await asyncio.sleep(0.1)
         return float("inf"), 0.0
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -20,6 +20,7 @@
 from grebedyke import model
 from grebedyke.consensus import framing
 from grebedyke.consensus.consensus import Consensus
+from grebedyke.emulators.discovery import DiscoveryEmulator
 from grebedyke.load import fleet as plain
 from grebedyke.load import shape
 from grebedyke.maintenance.component import Maintenance
@@ -32,7 +33,6 @@
 from grebedyke.service.configuration import check_settings, open_dispatcher
 from grebedyke.service.log import Gauges
 from grebedyke.service.turn import Turn
-from grebedyke.standin.discovery import Discovery
 from grebedyke.units import TICKS_PER_SECOND
 from grebedyke.wire import http
 from grebedyke.wire.discovery import entries
@@ -411,10 +411,10 @@
 
 def listing(executors, discovery=None):
     """As discovery gives it."""
-    discovery = discovery or Discovery()
+    discovery = discovery or DiscoveryEmulator()
     for i in range(executors):
         address = f"10.0.{i // 250}.{i % 250}", 9_000
-        discovery.put(discovery.row(f"worker-{i:04}", address, "abcde"[i % 5], "full"))
+        discovery.add(f"worker-{i:04}", address, "abcde"[i % 5], "full")
     return orjson.dumps(discovery.listing())
 
 
--- a/grebedyke/commands/fleet.py
+++ b/grebedyke/commands/fleet.py
@@ -9,7 +9,7 @@
 import click
 
 from grebedyke.commands.say import fail
-from grebedyke.standin import talk
+from grebedyke.emulators import http_messages
 
 # So much longer than the nodes' own limit on an agreement.
 WAIT = 8.0
@@ -20,10 +20,10 @@
     data, last = json.dumps(body).encode() if body is not None else b"", (0, "no node answers")
     for text in consoles:
         try:
-            where = talk.place(text)
+            where = http_messages.parse_address(text)
         except ValueError as problem:
             fail(str(problem))
-        status, told = asyncio.run(talk.call(where, f"{method} {path} HTTP/1.1", data, WAIT))
+        status, told = asyncio.run(http_messages.call(where, method, path, data, WAIT))
         if status not in (0, 503):
             return status, told.decode(errors="replace").strip()
         last = status, told.decode(errors="replace").strip() or f"{text}: no answer"
--- a/grebedyke/commands/main.py
+++ b/grebedyke/commands/main.py
@@ -250,12 +250,12 @@
     Example:
       grebedyke load --node a=127.0.0.1:9000 --executor 127.0.0.1:9100 --operation pay:unsafe --rate 50
     """
+    from grebedyke.emulators import http_messages
     from grebedyke.load import report, shape
-    from grebedyke.standin import talk
 
     try:
-        places = {name: talk.place(where) for name, _, where in (text.partition("=") for text in nodes)}
-        ends = [talk.place(text) for text in executors]
+        places = named_addresses(nodes)
+        ends = [http_messages.parse_address(text) for text in executors]
         known = [operation(text, timeout_ms / 1000) for text in operations]
         times = [float(line) for line in open(trace)] if trace else []
         plan = shape.arrivals(
@@ -269,6 +269,14 @@
     finish(report.summary(clients, clients.ledger.judge() if ends else None), json_path)
 
 
+def named_addresses(texts):
+    """Returns addresses by name out of NAME=HOST:PORT."""
+    from grebedyke.emulators import http_messages
+
+    parts = [text.partition("=") for text in texts]
+    return {name: http_messages.parse_address(address) for name, _, address in parts}
+
+
 def operation(text, timeout):
     from grebedyke.load import shape
 
@@ -280,8 +288,8 @@
 
 
 async def hand_in(places, ends, plan, seed, retries, known):
+    from grebedyke.emulators import http_messages
     from grebedyke.load.clients import Clients
-    from grebedyke.standin import talk
 
     clients = Clients(places, seed=seed, retries=retries)
     playing = asyncio.ensure_future(clients.play(plan))
@@ -290,7 +298,7 @@
         click.echo("  ".join(f"{name} {n}" for name, n in clients.ledger.counts().items()), err=True)
     await playing
     for end in ends:
-        status, body = await talk.call(end, "GET /runs HTTP/1.1", wait=10)
+        status, body = await http_messages.call(end, "GET", "/runs", timeout=10)
         if status != 200:
             fail("executor %s:%d does not tell what ran there" % end, 1)
         told = json.loads(body)
@@ -328,21 +336,23 @@
 @click.option("--seed", default=0, show_default=True)
 def executor(name, listen, nodes, slots, queue, speed, cold, ramp, faults, seed):
     """An executor that runs jobs for the work_ms in their body and goes wrong as told."""
-    from grebedyke.standin import talk
-    from grebedyke.standin.executor import Executor
-    from grebedyke.standin.faults import Script, fault
-    from grebedyke.standin.model import Worker
+    from grebedyke.emulators import http_messages
+    from grebedyke.emulators.executor import ExecutorEmulator
+    from grebedyke.emulators.executor_model import ExecutorModel, ExecutorSettings
+    from grebedyke.emulators.faults import FaultScript, parse_fault
 
     try:
-        where = talk.place(listen)
-        places = {key: talk.place(to) for key, _, to in (text.partition("=") for text in nodes)}
-        script = Script([fault(text) for text in faults], seed)
+        where = http_messages.parse_address(listen)
+        places = named_addresses(nodes)
+        script = FaultScript([parse_fault(text) for text in faults], seed)
     except ValueError as problem:
         fail(str(problem))
 
     async def serve():
-        worker = Worker(slots, speed, queue, cold, ramp)
-        await standing(Executor(name, places, worker, script), where)
+        settings = ExecutorSettings(
+            slots=slots, speed=speed, queue=queue, cold_capacity=cold, warm_up_time=ramp
+        )
+        await standing(ExecutorEmulator(name, places, ExecutorModel(settings), script), where)
 
     serve_until_stopped(serve())
 
@@ -353,16 +363,16 @@
 @click.option("--delay", default=0.0, show_default=True, type=click.FloatRange(0, 60), help="Seconds.")
 def discovery(listen, executors, delay):
     """Discovery that lists the named executors."""
-    from grebedyke.standin import talk
-    from grebedyke.standin.discovery import Discovery
+    from grebedyke.emulators import http_messages
+    from grebedyke.emulators.discovery import DiscoveryEmulator
 
-    serves = Discovery(delay)
+    serves = DiscoveryEmulator(delay)
     try:
-        where = talk.place(listen)
+        where = http_messages.parse_address(listen)
         for text in executors:
             key, _, rest = text.partition("=")
             to, *more = rest.split(",")
-            serves.put(serves.row(key, talk.place(to), *more[:2]))
+            serves.add(key, http_messages.parse_address(to), *more[:2])
     except ValueError as problem:
         fail(str(problem))
     serve_until_stopped(standing(serves, where))
--- a/grebedyke/commands/scale.py
+++ b/grebedyke/commands/scale.py
@@ -86,9 +86,9 @@
       grebedyke scale --nodes 40 --real 3 --for 20
       grebedyke scale --nodes 760 --real 20 --seed 1 --for 120 --scene cut --json cut.json
     """
+    from grebedyke.emulators import http_messages
     from grebedyke.rig import broken, figures
     from grebedyke.rig import scale as scales
-    from grebedyke.standin import talk
 
     builds = broken.BUILDS | broken.LIMITS | broken.SCALE
     if build and build not in builds:
@@ -96,7 +96,7 @@
     if wait * 4 > lease:
         fail(f"--lease is under four times --wait: {lease:g}")
     try:
-        host = host and talk.loopback(host)
+        host = host and http_messages.parse_loopback_host(host)
         result = asyncio.run(
             scales.play(
                 lambda text: click.echo(text, err=True),
--- a/grebedyke/errors.py
+++ b/grebedyke/errors.py
@@ -39,4 +39,4 @@
 
 
 class MalformedMessageError(GrebedykeError):
-    """An HTTP message that a stand-in received cannot be parsed."""
+    """An HTTP message that an emulator or a tool received cannot be parsed."""
--- a/grebedyke/load/clients.py
+++ b/grebedyke/load/clients.py
@@ -6,8 +6,9 @@
 
 from hdrh.histogram import HdrHistogram
 
+from grebedyke.emulators import http_messages
+from grebedyke.errors import MalformedMessageError
 from grebedyke.load.ledger import THROTTLED, Ledger
-from grebedyke.standin import talk
 
 IDLE = 64  # kept connections to a node
 
@@ -62,28 +63,29 @@
         """Seconds until it may be handed in anew, 0 where the answer names none; None: it is over."""
         op, body = arrival.operation, json.dumps({"work_ms": arrival.work * 1000}).encode()
         headers = {
-            "X_Request_ID": entry.id,
-            "X_Tenant_Id": arrival.tenant,
-            "X_Priority_Class": op.name,
-            "X_Timeout_Ms": int(op.timeout * 1000),
-            "X_Cost": int(arrival.work * 1e6),
+            "Host": "node",
+            "X-Request-ID": entry.id,
+            "X-Tenant-Id": arrival.tenant,
+            "X-Priority-Class": op.name,
+            "X-Timeout-Ms": int(op.timeout * 1000),
+            "X-Cost": int(arrival.work * 1e6),
         }
-        headers |= {"Idempotency_Key": entry.key} if op.effect == "keyed" else {}
-        headers |= {"X_Retried": 1} if again else {}
+        headers |= {"Idempotency-Key": entry.key} if op.effect == "keyed" else {}
+        headers |= {"X-Retried": 1} if again else {}
         reader = writer = None
         try:
             reader, writer = await self.line(name)
-            writer.write(talk.message(f"POST /{op.name}/{entry.key} HTTP/1.1", body, Host="node", **headers))
+            writer.write(http_messages.format_message(f"POST /{op.name}/{entry.key} HTTP/1.1", body, headers))
             entry.sent = self.loop.time()
             # Half a second more than its time: a late answer is to be seen as one.
             wait = arrival.leaves if arrival.leaves is not None else op.timeout + 0.5
             async with asyncio.timeout(wait):
-                answer = await talk.read(reader)
+                answer = await http_messages.read_message(reader)
         except TimeoutError:
             entry.left = arrival.leaves is not None
             writer.transport.abort()
             return None
-        except (OSError, talk.MalformedMessageError, EOFError):
+        except (OSError, MalformedMessageError, EOFError):
             # Refused or dead before anything was sent: no node has taken it.
             entry.refused = entry.sent is None
             if writer:
--- a/grebedyke/load/demo.py
+++ b/grebedyke/load/demo.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
+from grebedyke.emulators.faults import Fault, FaultKind
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
 from grebedyke.load.fleet import Fleet
-from grebedyke.standin.faults import Fault
 
 OPERATIONS = (
     shape.Operation("hold", "keyed", share=0.5),
@@ -18,7 +18,7 @@
 
 async def demo(say, seconds=20.0, rate=40.0, seed=1, nodes=3, executors=6):
     """`say(line)` for each line of the live table. Gives clients (with their ledger) and broken rules."""
-    hung = Fault("hang", seconds * 0.6, seconds * 0.8)
+    hung = Fault(FaultKind.HANG, seconds * 0.6, seconds * 0.8)
     fleet = Fleet(OPERATIONS, nodes, executors, faults={"s-1": [hung]}, seed=seed)
     task = None
     try:
@@ -50,7 +50,7 @@
             now[name] - before.get(name, 0) for name in ("taken", "succeeded", "throttled", "errored", "left")
         ]
         held = " ".join(
-            f"{e.worker.report()['inflight']:2d}" if e.server else " x" for e in fleet.executors.values()
+            f"{e.model.load_report()['inflight']:2d}" if e.server else " x" for e in fleet.executors.values()
         )
         say("%4.0f %6d %10d %10d %8d %5d  %s" % (at, *row, held))
         before = now
--- a/grebedyke/load/fleet.py
+++ b/grebedyke/load/fleet.py
@@ -8,11 +8,11 @@
 import tempfile
 from pathlib import Path
 
-from grebedyke.standin import talk
-from grebedyke.standin.discovery import Discovery
-from grebedyke.standin.executor import Executor
-from grebedyke.standin.faults import Script
-from grebedyke.standin.model import Worker
+from grebedyke.emulators import http_messages
+from grebedyke.emulators.discovery import DiscoveryEmulator
+from grebedyke.emulators.executor import ExecutorEmulator
+from grebedyke.emulators.executor_model import ExecutorModel, ExecutorSettings
+from grebedyke.emulators.faults import FaultScript
 
 KINDS = {"full": 1.0, "slow": 0.6}
 ZONES = "a", "b"
@@ -95,18 +95,22 @@
         self.discovery, self.executors, self.processes = None, {}, {}
 
     async def start(self):
-        self.discovery = await Discovery().listen()
+        self.discovery = await DiscoveryEmulator().listen()
         known = {}
         for i in range(self.count):
             name, zone = f"s-{i}", self.zones[i % len(self.zones)]
             kind = [*KINDS][i // len(self.zones) % len(KINDS)]
             # Already warm, as a fleet is that has run for a while; a restart is cold.
-            worker = Worker(self.slots, KINDS[kind], cold=self.cold, ramp=2.0, born=-10.0)
+            capacity = ExecutorSettings(
+                slots=self.slots, speed=KINDS[kind], cold_capacity=self.cold, warm_up_time=2.0
+            )
+            model = ExecutorModel(capacity, started_at=-10.0)
             # The executors of a zone drop each other's repeats.
-            worker.known = known.setdefault(zone, {})
-            executor = Executor(name, self.nodes, worker, Script(self.faults.get(name, ()), self.seed + i))
+            model.effect_times = known.setdefault(zone, {})
+            script = FaultScript(self.faults.get(name, ()), self.seed + i)
+            executor = ExecutorEmulator(name, self.nodes, model, script)
             self.executors[name] = await executor.listen()
-            self.discovery.put(self.discovery.row(name, executor.address, zone, kind))
+            self.discovery.add(name, executor.address, zone, kind)
         await asyncio.gather(*(self.open(name) for name in self.nodes))
         return self
 
@@ -123,7 +127,7 @@
     async def launch(self, name):
         process = await self.spawn(name)
         end = asyncio.get_running_loop().time() + STARTS
-        while (await talk.call(self.nodes[name], "GET /up HTTP/1.1", wait=0.5))[0] != 200:
+        while (await http_messages.call(self.nodes[name], "GET", "/up", timeout=0.5)).status != 200:
             if process.returncode is not None or asyncio.get_running_loop().time() > end:
                 text = Path(self.folder.name, f"{name}.log").read_text(errors="replace").strip()
                 last = text.splitlines()[-1] if text else "it said nothing"
@@ -169,9 +173,9 @@
     def fill(self, ledger):
         """What executors and discovery have seen goes into the ledger."""
         for name, executor in self.executors.items():
-            ledger.ran(name, executor.worker.runs)
-            ledger.reached(name, executor.forwards)
-        for at, name, _ in self.discovery.told:
+            ledger.ran(name, executor.model.effects)
+            ledger.reached(name, executor.arrivals)
+        for at, name, _ in self.discovery.notices:
             ledger.drained(name, at)
 
     async def close(self):
--- a/grebedyke/rig/doors.py
+++ b/grebedyke/rig/doors.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import Counter
 
-from grebedyke.standin import talk
+from grebedyke.emulators import http_messages
 
 KINDS = {
     "silent": "takes connections and says nothing",
@@ -13,7 +13,7 @@
 PIECE = 65_536
 
 
-class Door(talk.Server):
+class Door(http_messages.LoopbackServer):
     """Carries bytes to `to()`; `bad`: None or one of KINDS. Open connections feel a change at once."""
 
     def __init__(self, to, wait=0.3):
--- a/grebedyke/rig/fleet.py
+++ b/grebedyke/rig/fleet.py
@@ -10,10 +10,10 @@
 from collections import Counter
 from pathlib import Path
 
+from grebedyke.emulators import http_messages
 from grebedyke.load import fleet as plain
 from grebedyke.rig.doors import Door
 from grebedyke.rig.links import Links
-from grebedyke.standin import talk
 
 LAUNCH = sys.executable, "-m", "grebedyke.rig.launch"
 # Short, so that rounds are; the rules' figures are the stand-ins' own.
@@ -121,7 +121,7 @@
             )
         self.processes[name], self.lives[name] = process, self.lives[name] + 1
         end = asyncio.get_running_loop().time() + plain.STARTS
-        while (await talk.call(self.nodes[name], "GET /up HTTP/1.1", wait=0.5))[0] != 200:
+        while (await http_messages.call(self.nodes[name], "GET", "/up", timeout=0.5)).status != 200:
             if process.returncode is not None or asyncio.get_running_loop().time() > end:
                 if self.lives[name] == 1:
                     # A relay, or another's connection, has been given the port since it was drawn.
@@ -208,7 +208,7 @@
     async def call(self, name, method, path, body=None, wait=6.0):
         """(status, text), (0, '') where nobody answered."""
         data = json.dumps(body).encode() if body is not None else b""
-        status, told = await talk.call(self.consoles[name], f"{method} {path} HTTP/1.1", data, wait)
+        status, told = await http_messages.call(self.consoles[name], method, path, data, wait)
         return status, told.decode(errors="replace").strip()
 
     async def status(self, name):
--- a/grebedyke/rig/rounds.py
+++ b/grebedyke/rig/rounds.py
@@ -204,7 +204,7 @@
         self.judge.done["worked at"] += 1
         await asyncio.sleep(0.3 + self.random.random())
         # Whatever has come since it was told free has met a machine with its lid off.
-        for id, at in executor.forwards:
+        for id, at in executor.arrivals:
             if at > began:
                 self.judge.done["reached in work"] += 1
                 if not self.script:
--- a/grebedyke/rig/scale.py
+++ b/grebedyke/rig/scale.py
@@ -20,16 +20,16 @@
 
 import orjson
 
+from grebedyke.emulators.discovery import DiscoveryEmulator
+from grebedyke.emulators.executor import ExecutorEmulator
+from grebedyke.emulators.executor_model import ExecutorModel, ExecutorSettings
+from grebedyke.emulators.faults import FaultScript
 from grebedyke.load import fleet as plain
 from grebedyke.load import shape
 from grebedyke.rig.figures import compared, over_limits, rows_of, yardstick
 from grebedyke.rig.fleet import DRIFT, GRACE, RAMP, WINDOW
 from grebedyke.rig.looking import UNTIL, Looking
 from grebedyke.rig.taps import limits_of
-from grebedyke.standin.discovery import Discovery
-from grebedyke.standin.executor import Executor
-from grebedyke.standin.faults import Script
-from grebedyke.standin.model import Worker
 
 ZONES = "a", "b", "c", "d", "e"
 # Regions: three zones and two, so that at most one side of a cut has a majority.
@@ -333,12 +333,13 @@
         # Each real node has a disk of its own; one for all would hold all of them up.
         place = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
         self.folder = tempfile.mkdtemp(prefix="grebedyke-scale-", dir=place)
-        self.discovery = await Discovery().listen()
+        self.discovery = await DiscoveryEmulator().listen()
         for i in range(self.executors):
             name, zone = f"s-{i}", ZONES[i % len(ZONES)]
-            executor = await Executor(name, self.ends, Worker(4, 1.0), Script([], i)).listen()
+            model = ExecutorModel(ExecutorSettings(slots=4, speed=1.0))
+            executor = await ExecutorEmulator(name, self.ends, model, FaultScript([], i)).listen()
             self.stand_ins.append(executor)
-            self.discovery.put(self.discovery.row(name, executor.address, zone, "full"))
+            self.discovery.add(name, executor.address, zone, "full")
         for group in self.groups():
             self.child(group, False)
         for i in sorted(self.real):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -9,74 +9,91 @@
 from click.testing import CliRunner
 
 from grebedyke.commands.main import cli
+from grebedyke.emulators import http_messages
+from grebedyke.emulators.discovery import DiscoveryEmulator
+from grebedyke.emulators.executor import ExecutorEmulator
+from grebedyke.emulators.executor_model import Admission, ExecutorModel, ExecutorSettings
+from grebedyke.emulators.faults import FaultKind, FaultScript, parse_fault
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
 from grebedyke.load.fleet import Fleet
 from grebedyke.load.ledger import Ledger
-from grebedyke.standin import talk
-from grebedyke.standin.discovery import Discovery
-from grebedyke.standin.executor import Executor
-from grebedyke.standin.faults import KINDS, Script, fault
-from grebedyke.standin.model import Worker
 
 PAY = shape.Operation("pay", "unsafe", 1.0)
 HOLD = shape.Operation("hold", "keyed", 1.0)
 VIEW = shape.Operation("view", "safe", 1.0)
 
 
-def test_a_cold_worker_falls_under_more_than_its_multiple_and_a_warm_one_does_not():
-    for born, pace, falls in ((0, 0.05, True), (0, 0.5, False), (-99, 0.05, False)):
-        worker = Worker(slots=2, queue=999, cold=0.25, ramp=8, multiple=2, tip=1, born=born)
-        told = [worker.take(i * pace, f"j{i}", "", "op", 0.2) for i in range(40)]
-        assert ("fell" in told) == falls == worker.fallen, (born, pace)
+def test_a_cold_executor_dies_of_more_than_its_multiple_and_a_warm_one_does_not():
+    for started_at, pace, dies in ((0, 0.05, True), (0, 0.5, False), (-99, 0.05, False)):
+        settings = ExecutorSettings(
+            slots=2,
+            queue=999,
+            cold_capacity=0.25,
+            warm_up_time=8,
+            overload_multiple=2,
+            overload_window=1,
+        )
+        executor = ExecutorModel(settings, started_at)
+        admissions = [executor.submit(i * pace, f"j{i}", "", "op", 0.2) for i in range(40)]
+        assert (Admission.OVERLOADED in admissions) == dies == executor.is_overloaded, (started_at, pace)
 
 
-def test_a_worker_drops_repeats_within_its_window_and_forgets_at_a_restart():
-    worker = Worker(slots=9, window=2, born=-99)
-    for at, key, effects in ((0, "k", 1), (1, "k", 1), (1, "", 2), (1, "", 3), (2.5, "k", 4), (3, "k", 4)):
-        worker.take(at, f"j{at}", key, "op", 0.01)
-        assert len(worker.runs) == effects, (at, key)
-    worker.restart(3.1)
-    assert worker.warmth(3.1) == 0.3 and worker.report()["inflight"] == 0
-    worker.take(3.2, "again", "k", "op", 0.01)
-    assert len(worker.runs) == 5
+def test_an_executor_drops_repeats_within_its_window_and_forgets_at_a_restart():
+    executor = ExecutorModel(ExecutorSettings(slots=9, idempotency_window=2), started_at=-99)
+    for time, key, effects in ((0, "k", 1), (1, "k", 1), (1, "", 2), (1, "", 3), (2.5, "k", 4), (3, "k", 4)):
+        executor.submit(time, f"j{time}", key, "op", 0.01)
+        assert len(executor.effects) == effects, (time, key)
+    executor.restart(3.1)
+    assert executor.capacity(3.1) == 0.3 and executor.load_report()["inflight"] == 0
+    executor.submit(3.2, "again", "k", "op", 0.01)
+    assert len(executor.effects) == 5
 
 
 def test_a_waiting_job_that_is_given_up_never_runs():
-    worker = Worker(slots=1, born=-99)
-    worker.take(0, "a", "", "op", 1)
-    worker.take(0, "b", "", "op", 1)
-    assert not worker.drop("a") and worker.drop("b") and not worker.drop("b")
-    assert [job.id for job in worker.finished(1)] == ["a"] and not worker.started(1)
+    executor = ExecutorModel(ExecutorSettings(slots=1), started_at=-99)
+    executor.submit(0, "a", "", "op", 1)
+    executor.submit(0, "b", "", "op", 1)
+    assert not executor.cancel("a") and executor.cancel("b") and not executor.cancel("b")
+    assert [job.id for job in executor.take_finished(1)] == ["a"] and not executor.start_waiting(1)
+
 
+class NoticeReceiver(http_messages.LoopbackServer):
+    """In a node's place: collects the notices that executors send."""
 
-class News(talk.Server):
-    """In a node's place: keeps what executors tell."""
+    def __init__(self):
+        super().__init__()
+        self.notices = []
 
     async def serve(self, reader, writer):
-        while asked := await talk.read(reader):
-            self.heard = [*getattr(self, "heard", ()), json.loads(asked[2])]
-            writer.write(talk.message("HTTP/1.1 204 No Content"))
+        while request := await http_messages.read_message(reader):
+            self.notices.append(json.loads(request.body))
+            writer.write(http_messages.format_message("HTTP/1.1 204 No Content"))
 
 
 async def one_job(kind):
-    """(status of the forward, states that were told, effects) under one fault."""
-    node = await News().listen()
-    script = Script([fault(kind)] if kind else [])
-    worker = await Executor("s-1", {"n": node.address}, Worker(born=-99), script).listen()
-    body = b'{"work_ms": 20}'
-    status, _ = await talk.call(
-        worker.address, "POST /op/k HTTP/1.1", body, 3 if kind == "late" else 0.4, X_Request_ID="n-1"
+    """Returns the status of an attempt, the states in notices, and the number of effects, under one fault."""
+    node = await NoticeReceiver().listen()
+    script = FaultScript([parse_fault(kind)] if kind else [])
+    model = ExecutorModel(started_at=-99)
+    executor = await ExecutorEmulator("s-1", {"n": node.address}, model, script).listen()
+    status, _ = await http_messages.call(
+        executor.address,
+        "POST",
+        "/op/k",
+        b'{"work_ms": 20}',
+        timeout=3 if kind == "late" else 0.4,
+        headers={"X-Request-ID": "n-1"},
     )
     await asyncio.sleep(0.15)
-    heard = [news["state"] for news in getattr(node, "heard", ())]
-    await worker.close()
+    states = [notice["state"] for notice in node.notices]
+    await executor.close()
     await node.close()
-    return status, heard, len(worker.worker.runs)
+    return status, states, len(model.effects)
 
 
 def test_each_fault_goes_wrong_in_its_way():
-    for kind, status, heard, effects in (
+    for kind, status, states, effects in (
         ("", 202, ["started", "done"], 1),
         ("refuse", 0, [], 0),
         ("hang", 0, [], 0),
@@ -92,9 +109,9 @@
         ("odd", 0, ["started", "done"], 1),
         ("hang@9", 202, ["started", "done"], 1),
     ):
-        got = asyncio.run(one_job(kind))
-        assert (got[0], sorted(got[1]), got[2]) == (status, sorted(heard), effects), (kind, got)
-        assert kind.partition("@")[0] in ("", *KINDS)
+        result = asyncio.run(one_job(kind))
+        assert (result[0], sorted(result[1]), result[2]) == (status, sorted(states), effects), (kind, result)
+        assert kind.partition("@")[0] in ("", *FaultKind)
 
 
 def test_a_fault_that_is_misspelt_is_one_plain_line():
@@ -107,30 +124,34 @@
         ("reset%200", "range"),
     ):
         with pytest.raises(ValueError, match=word):
-            fault(text)
+            parse_fault(text)
 
 
-def test_discovery_tells_changes_once_and_whole_lists_where_it_must():
+def test_discovery_sends_changes_once_and_full_lists_where_it_must():
     async def story():
-        d = await Discovery().listen()
-        d.put(d.row("s-1", ("127.0.0.1", 9)))
+        discovery = await DiscoveryEmulator().listen()
+        discovery.add("s-1", ("127.0.0.1", 9))
 
         async def ask(query):
-            return json.loads((await talk.call(d.address, f"GET /discovery/hosts{query} HTTP/1.1"))[1])
+            response = await http_messages.call(discovery.address, "GET", f"/discovery/hosts{query}")
+            return json.loads(response.body)
 
         assert (await ask("")) | {"endpoints": 0} == {"index": 1, "snapshot": True, "endpoints": 0}
         watch = asyncio.ensure_future(ask("?after=1&wait_ms=900"))
         await asyncio.sleep(0.05)
-        await d.change("s-1", status="Terminating")
-        told = await watch
-        assert not told["snapshot"] and [r["status"] for r in told["endpoints"]] == ["Terminating"]
+        await discovery.change("s-1", status="Terminating")
+        listing = await watch
+        assert not listing["snapshot"]
+        assert [row["status"] for row in listing["endpoints"]] == ["Terminating"]
         assert (await ask("?after=2&wait_ms=10"))["endpoints"] == []
-        assert (await ask("?after=7&wait_ms=10"))["snapshot"]  # a version of another life
-        await d.change("s-1", status="Gone")
-        assert (await ask(""))["endpoints"] == [] and {x[1:] for x in d.told} == {("s-1", "Terminating")}
-        d.down = True
-        assert (await talk.call(d.address, "GET /discovery/hosts HTTP/1.1", wait=0.1)) == (0, b"")
-        await d.close()
+        assert (await ask("?after=7&wait_ms=10"))["snapshot"]  # a version of another incarnation
+        await discovery.change("s-1", status="Gone")
+        assert (await ask(""))["endpoints"] == []
+        assert {notice[1:] for notice in discovery.notices} == {("s-1", "Terminating")}
+        discovery.is_silent = True
+        silence = await http_messages.call(discovery.address, "GET", "/discovery/hosts", timeout=0.1)
+        assert silence == (0, b"")
+        await discovery.close()
 
     asyncio.run(story())
 
@@ -178,7 +199,7 @@
             nodes=2,
             executors=4,
             command=(sys.executable, "-c", start),
-            faults={name: [fault(x)] for name, x in (faults or {}).items()},
+            faults={name: [parse_fault(x)] for name, x in (faults or {}).items()},
         )
         try:
             await fleet.start()
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -10,13 +10,13 @@
 from click.testing import CliRunner
 
 from grebedyke.commands.main import cli
+from grebedyke.emulators import http_messages
 from grebedyke.load import fleet as plain
 from grebedyke.rig import rounds
 from grebedyke.rig.fleet import Rig
 from grebedyke.rig.judge import Judge
 from grebedyke.rig.launch import LyingFiles
 from grebedyke.service.record_files import RecordFiles
-from grebedyke.standin import talk
 
 # Each fault comes in some round: one that did not happen proves nothing.
 # Seed 1 goes on under limits: without kills, which leave it little more than its floors.
@@ -244,18 +244,18 @@
             assert told["machines"][0] == {"name": "s-1", "state": "free", "number": number}
             assert (await rig.call("n0", "POST", f"/v1/maintenance/back/s-1/{number}"))[0] == 200
             executor, other = rig.executors["s-1"], rig.executors["s-2"]
-            before, asked = len(executor.forwards), 0
-            while len(executor.forwards) == before and asked < 200:
+            before, asked = len(executor.arrivals), 0
+            while len(executor.arrivals) == before and asked < 200:
                 asked += 1
-                await talk.call(
+                await http_messages.call(
                     rig.nodes["n1"],
-                    "POST /view/k HTTP/1.1",
+                    "POST",
+                    "/view/k",
                     b'{"work_ms": 5}',
-                    X_Request_ID=f"n1-{asked}",
-                    X_Timeout_Ms=4000,
+                    headers={"X-Request-ID": f"n1-{asked}", "X-Timeout-Ms": 4000},
                 )
             # What came along from the old process ends by the plan's word; the operator's stays.
-            return asked, [id for id, _ in other.forwards]
+            return asked, [id for id, _ in other.arrivals]
         finally:
             await rig.close()
 
