--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -15,11 +15,11 @@
 
 import click
 
-from grebedyke.load import shape
-from grebedyke.load.clients import Clients
-from grebedyke.load.fleet import Fleet
+from grebedyke.load.arrivals import LoadShape, Operation, SizeLaw, draw_arrivals
+from grebedyke.load.clients import OpenLoopClients
+from grebedyke.load.fleet import FleetShape, LocalFleet
 
-VIEW = shape.Operation("view", "safe", 4.0)
+VIEW = Operation("view", "safe", 4.0)
 COMMANDS = {"node": (sys.executable, "-m", "grebedyke"), "relay": (sys.executable, "-m", "benchmarks.relay")}
 
 
@@ -29,28 +29,34 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
+def load_shape(rate, seconds):
+    return LoadShape(
+        operations=(VIEW,), rate=rate, seconds=seconds, size_law=SizeLaw.CONSTANT, mean_work=1e-6
+    )
+
+
 async def one(command, rate, seconds, executors, connections):
     """(CPU ms an invocation, p50 and p99 of the added wait in ms, tool late in ms, share that succeeded)."""
-    fleet = Fleet((VIEW,), nodes=1, executors=executors, command=COMMANDS[command], slots=64)
+    fleet = LocalFleet((VIEW,), FleetShape(nodes=1, executors=executors, slots=64), command=COMMANDS[command])
     open_ = []
     try:
         await fleet.start()
         for _ in range(connections):
             open_.append(await asyncio.open_connection(*fleet.nodes["n0"]))
-        clients = Clients(fleet.nodes, retries=0)
+        clients = OpenLoopClients(fleet.nodes, retries=0)
         # The first second warms connections and books.
-        await clients.play(shape.arrivals(1, "poisson", rate, 1.0, "constant", 1e-6, (VIEW,)))
-        clients = Clients(fleet.nodes, retries=0)
+        await clients.play(draw_arrivals(1, load_shape(rate, 1.0)))
+        clients = OpenLoopClients(fleet.nodes, retries=0)
         pid = fleet.processes["n0"].pid
         before = cpu(pid)
-        await clients.play(shape.arrivals(2, "poisson", rate, seconds, "constant", 1e-6, (VIEW,)))
+        await clients.play(draw_arrivals(2, load_shape(rate, seconds)))
         used = cpu(pid) - before
-        counts, waits = clients.ledger.counts(), clients.percentiles()
+        counts, waits = clients.ledger.counts(), clients.wait_percentiles()
         return (
             used * 1000 / max(counts["taken"], 1),
             waits["p50"],
             waits["p99"],
-            clients.late * 1000,
+            clients.lag * 1000,
             counts["succeeded"] / max(counts["taken"], 1),
         )
     finally:
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -20,11 +20,11 @@
 
 from benchmarks.capacity import cpu
 from grebedyke.emulators import http_messages
-from grebedyke.load import shape
-from grebedyke.load.clients import Clients
-from grebedyke.load.fleet import Fleet
+from grebedyke.load.arrivals import LoadShape, Operation, draw_arrivals
+from grebedyke.load.clients import OpenLoopClients
+from grebedyke.load.fleet import FleetShape, LocalFleet
 
-VIEW = shape.Operation("view", "safe", 4.0)
+VIEW = Operation("view", "safe", 4.0)
 DISCOVERY = "answers", "silent", "down"
 BOUND, SHARE = 10.0, 0.9
 # Seconds of load before the kill (its process starts meanwhile), and all in all.
@@ -53,13 +53,13 @@
         return self.times[-(-9 * len(self.times) // 10) - 1]
 
 
-class Killed(Fleet):
+class Killed(LocalFleet):
     """A fleet whose nodes are killed and restarted all at once, under the addresses that they had.
 
     Each has an address of its own: at a shared one the system gives the dead one's port to a connection.
     """
 
-    async def open(self, name):
+    async def start_node(self, name):
         self.nodes[name] = (
             "127.%d.%d.%d"
             % (64 + os.getpid() % 128, os.getpid() // 128 % 256, [*self.nodes].index(name) + 1),
@@ -98,12 +98,13 @@
     """In a process of its own, as it would make the starts look slow: (clock, node, succeeded) of each."""
 
     async def play():
-        clients = Clients(nodes, seed=seed, retries=0)
-        await clients.play(shape.arrivals(seed, "poisson", rate, seconds, "exponential", 0.02, (VIEW,)))
+        clients = OpenLoopClients(nodes, seed=seed, retries=0)
+        await clients.play(
+            draw_arrivals(seed, LoadShape(operations=(VIEW,), rate=rate, seconds=seconds, mean_work=0.02))
+        )
         return [
-            (e.intended, e.id.partition("-")[0], bool(e.answers) and e.answers[0][1] == 200)
-            for e in clients.ledger.entries.values()
-        ], clients.late
+            (e.intended, e.id.partition("-")[0], e.succeeded) for e in clients.ledger.entries.values()
+        ], clients.lag
 
     return asyncio.run(play())
 
@@ -122,7 +123,7 @@
     Without load (`rate` 0) nothing is handed in and nothing can be said of it.
     """
     loop = asyncio.get_running_loop()
-    fleet = Killed((VIEW,), nodes, executors=8, command=command, seed=seed, slots=32)
+    fleet = Killed((VIEW,), FleetShape(nodes=nodes, executors=8, slots=32), command=command, seed=seed)
     counting = [
         await asyncio.create_subprocess_exec(sys.executable, "-c", "while True: pass") for _ in range(busy)
     ]
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -21,8 +21,8 @@
 from grebedyke.consensus import framing
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.emulators.discovery import DiscoveryEmulator
-from grebedyke.load import fleet as plain
-from grebedyke.load import shape
+from grebedyke.load.arrivals import Operation
+from grebedyke.load.deployment import deployment_settings
 from grebedyke.maintenance.component import Maintenance
 from grebedyke.model import SeededRandom
 from grebedyke.rate_limits.component import RateLimits
@@ -399,8 +399,8 @@
 
 
 def settings(nodes=760, me=5, operations=2, tenants=34, probes=True):
-    ops = [shape.Operation(f"op{i}", ("keyed", "unsafe", "safe")[i % 3]) for i in range(operations)]
-    conf = plain.settings(ops, nodes, me, "a", "abcde")
+    ops = [Operation(f"op{i}", ("keyed", "unsafe", "safe")[i % 3]) for i in range(operations)]
+    conf = deployment_settings(ops, nodes, me, "a", "abcde")
     for told in conf["operations"]:
         # Urgent work starts within 7 s, and a task runs for minutes.
         told |= {"latencyObjectiveMs": 7_000, "clientTimeoutMs": 600_000}
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -14,16 +14,16 @@
 import click
 
 from benchmarks.capacity import cpu
-from grebedyke.load import shape
-from grebedyke.load.clients import Clients
+from grebedyke.load.arrivals import LoadShape, Operation, draw_arrivals
+from grebedyke.load.clients import OpenLoopClients
 from grebedyke.rig.fleet import RAMP, Rig
 
 ZONES = "a", "b", "c", "d"
 LOOK = 0.1
 OPERATIONS = (
-    shape.Operation("hold", "keyed", share=0.4),
-    shape.Operation("confirm", "unsafe", share=0.3),
-    shape.Operation("view", "safe", share=0.3),
+    Operation("hold", "keyed", share=0.4),
+    Operation("confirm", "unsafe", share=0.3),
+    Operation("view", "safe", share=0.3),
 )
 
 
@@ -72,18 +72,18 @@
     try:
         await rig.start()
         await settled(rig)
-        clients = Clients(rig.nodes, seed=seed)
-        plan = shape.arrivals(seed, "poisson", rate, ideal * 1.4, "exponential", 0.4, OPERATIONS)
+        clients = OpenLoopClients(rig.nodes, seed=seed)
+        shape = LoadShape(operations=OPERATIONS, rate=rate, seconds=ideal * 1.4, mean_work=0.4)
         before = [cpu(process.pid) for process in rig.processes.values()]
-        load = asyncio.ensure_future(clients.play(plan))
+        load = asyncio.ensure_future(clients.play(draw_arrivals(seed, shape)))
         took = await operators(rig, work) if with_plan else None
         await load
         used = sum(cpu(p.pid) - b for p, b in zip(rig.processes.values(), before)) / nodes / (ideal * 1.4)
         counts = clients.ledger.counts()
-        rig.fill(clients.ledger)
-        if broken := clients.ledger.judge():
+        rig.report_to(clients.ledger)
+        if broken := clients.ledger.violations():
             raise click.ClickException(f"a rule is broken: {broken[0]}")
-        return counts["succeeded"] / counts["taken"], clients.percentiles()["p99"], took, used
+        return counts["succeeded"] / counts["taken"], clients.wait_percentiles()["p99"], took, used
     finally:
         await rig.close()
 
--- a/grebedyke/commands/main.py
+++ b/grebedyke/commands/main.py
@@ -140,17 +140,17 @@
         fail(f"--plot needs the extra `plots` ({problem.name} is missing)")
 
 
-def finish(told, json_path):
+def finish(summary, json_path):
     from grebedyke.load import report
 
-    for line in report.text(told):
+    for line in report.text_lines(summary):
         click.echo(line)
     if json_path:
         try:
-            report.write(json_path, told)
+            report.write(json_path, summary)
         except OSError as problem:
             fail(f"{json_path}: {problem.strerror}")
-    sys.exit(3 if told["broken"] else 0)
+    sys.exit(3 if summary["broken"] else 0)
 
 
 @cli.command()
@@ -166,15 +166,16 @@
     Needs no file and cleans up after itself, also on Ctrl-C. Exit code 3 where a rule was broken.
     """
     from grebedyke.load import report
-    from grebedyke.load.demo import demo as play
+    from grebedyke.load.demo import DemoSettings, play_demo
 
     try:
-        clients, broken = asyncio.run(play(click.echo, seconds, rate, seed, nodes, executors))
+        settings = DemoSettings(seconds=seconds, rate=rate, seed=seed, nodes=nodes, executors=executors)
+        clients, violations = asyncio.run(play_demo(click.echo, settings))
     except KeyboardInterrupt:
         fail("stopped", 1)
     except OSError as problem:
         fail(str(problem), 1)
-    finish(report.summary(clients, broken), json_path)
+    finish(report.summarize(clients, violations), json_path)
 
 
 @cli.command()
@@ -251,22 +252,32 @@
       grebedyke load --node a=127.0.0.1:9000 --executor 127.0.0.1:9100 --operation pay:unsafe --rate 50
     """
     from grebedyke.emulators import http_messages
-    from grebedyke.load import report, shape
+    from grebedyke.load import report
+    from grebedyke.load.arrivals import LoadShape, draw_arrivals
 
     try:
         places = named_addresses(nodes)
         ends = [http_messages.parse_address(text) for text in executors]
         known = [operation(text, timeout_ms / 1000) for text in operations]
         times = [float(line) for line in open(trace)] if trace else []
-        plan = shape.arrivals(
-            seed, arrivals, rate, seconds, sizes, mean_ms / 1000, known, tenants, leaving, times
+        shape = LoadShape(
+            operations=tuple(known),
+            rate=rate,
+            seconds=seconds,
+            pattern=arrivals,
+            size_law=sizes,
+            mean_work=mean_ms / 1000,
+            tenants=tenants,
+            leaving=leaving,
+            trace=tuple(times),
         )
+        plan = draw_arrivals(seed, shape)
     except OSError as problem:
         fail(f"{problem.filename}: {problem.strerror}")
     except ValueError as problem:
         fail(str(problem))
     clients = asyncio.run(hand_in(places, ends, plan, seed, retries, known))
-    finish(report.summary(clients, clients.ledger.judge() if ends else None), json_path)
+    finish(report.summarize(clients, clients.ledger.violations() if ends else None), json_path)
 
 
 def named_addresses(texts):
@@ -278,20 +289,20 @@
 
 
 def operation(text, timeout):
-    from grebedyke.load import shape
+    from grebedyke.load.arrivals import Operation
 
     name, _, rest = text.partition(":")
     effect, _, share = rest.partition(":")
     if not name or effect not in ("safe", "keyed", "unsafe"):
         raise ValueError(f"{text}: NAME:EFFECT[:SHARE] is meant, with safe, keyed or unsafe")
-    return shape.Operation(name, effect, timeout, share=float(share or 1))
+    return Operation(name, effect, timeout, share=float(share or 1))
 
 
 async def hand_in(places, ends, plan, seed, retries, known):
     from grebedyke.emulators import http_messages
-    from grebedyke.load.clients import Clients
+    from grebedyke.load.clients import OpenLoopClients
 
-    clients = Clients(places, seed=seed, retries=retries)
+    clients = OpenLoopClients(places, seed=seed, retries=retries)
     playing = asyncio.ensure_future(clients.play(plan))
     while not playing.done():
         await asyncio.wait([playing], timeout=5)
@@ -302,8 +313,8 @@
         if status != 200:
             fail("executor %s:%d does not tell what ran there" % end, 1)
         told = json.loads(body)
-        clients.ledger.ran(told["name"], told["runs"])
-        clients.ledger.reached(told["name"], told["forwards"])
+        clients.ledger.add_effects(told["name"], told["runs"])
+        clients.ledger.add_arrivals(told["name"], told["forwards"])
     return clients
 
 
--- a/grebedyke/load/clients.py
+++ b/grebedyke/load/clients.py
@@ -1,4 +1,4 @@
-"""Clients that hand in at their own times, whatever becomes of what they handed in before."""
+"""Open-loop clients: each request is handed in at its own time, whatever became of those before it."""
 
 import asyncio
 import json
@@ -8,111 +8,163 @@
 
 from grebedyke.emulators import http_messages
 from grebedyke.errors import MalformedMessageError
-from grebedyke.load.ledger import THROTTLED, Ledger
+from grebedyke.load.ledger import Answer, Ledger
+from grebedyke.units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
-IDLE = 64  # kept connections to a node
+MOST_IDLE_CONNECTIONS = 64
+"""That are kept to one node."""
 
+LATE_ANSWER_WAIT = 0.5
+"""Seconds beyond its timeout that a client waits: an answer that comes late is to be seen as one."""
 
-class Clients:
-    """`nodes`: addresses by the prefix that ids get; each arrival goes to a node drawn with the seed.
+LONGEST_RECORDED_WAIT = 60 * TICKS_PER_SECOND
+RECORDED_DIGITS = 3
+PERCENTILES = (50, 90, 99, 100)
 
-    `retries`: how often a throttled invocation is handed in anew, after the time that the answer names or a
-    backoff that doubles. Waits are counted from the intended arrival, so that a stalled client hides nothing.
+RETRY_AT_ONCE = 0.0
+"""In place of a time to wait, where a throttle names none."""
+
+
+class OpenLoopClients:
+    """Clients of one run.
+
+    Waits are counted from the intended time of the arrival, so that a client that was held up hides nothing.
+
+    Attributes:
+        nodes: Addresses by name; request ids begin with the name of the node that they are handed to.
+        ledger: The `Ledger` that the requests go into.
+        retries: How often a throttled request is handed in anew.
+        backoff: Seconds until the first retry where the throttle names no time; doubles with each.
+        waits: Histogram of the waits of requests that succeeded, in ticks.
+        lag: The most seconds by which the tool itself was behind: waits of such a run are partly its own.
     """
 
     def __init__(self, nodes, ledger=None, seed=0, retries=1, backoff=0.1):
-        self.nodes, self.ledger = dict(nodes), ledger or Ledger()
-        self.random, self.retries, self.backoff = random.Random(seed), retries, backoff
-        self.loop, self.idle = asyncio.get_running_loop(), {name: [] for name in self.nodes}
-        self.waits = HdrHistogram(1, 600_000, 3)  # tenths of a millisecond, of what succeeded
-        self.number, self.late = 0, 0.0
+        self.nodes = dict(nodes)
+        self.ledger = ledger or Ledger()
+        self.retries = retries
+        self.backoff = backoff
+        self.waits = HdrHistogram(1, LONGEST_RECORDED_WAIT, RECORDED_DIGITS)
+        self.lag = 0.0
+        self._random = random.Random(seed)
+        self._loop = asyncio.get_running_loop()
+        self._idle = {name: [] for name in self.nodes}  # (reader, writer) of connections that are kept
+        self._request_count = 0
 
     async def play(self, arrivals):
-        """Returns once all are answered, given up or lost."""
-        start, tasks = self.loop.time(), set()
+        """Hands in all requests; returns once each is answered, given up or lost."""
+        start = self._loop.time()
+        tasks = set()
         for arrival in arrivals:
-            wait = start + arrival.at - self.loop.time()
+            intended = start + arrival.time
+            wait = intended - self._loop.time()
             if wait > 0:
                 await asyncio.sleep(wait)
-            # How far the tool itself runs behind: figures of a run in which it does are its own.
-            self.late = max(self.late, self.loop.time() - start - arrival.at)
-            task = self.loop.create_task(self.one(arrival, start + arrival.at))
+            self.lag = max(self.lag, self._loop.time() - start - arrival.time)
+            task = self._loop.create_task(self._play_one(arrival, intended))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         if tasks:
             await asyncio.wait(tasks)
-        for lines in self.idle.values():
-            for _, writer in lines:
+        for connections in self._idle.values():
+            for _, writer in connections:
                 writer.close()
 
-    async def one(self, arrival, intended):
-        self.number += 1
-        key, mark = f"k{self.number}", self.number
-        for again in range(self.retries + 1):
-            name = self.random.choice([*self.nodes])
-            entry = self.ledger.enter(f"{name}-{mark}-{again}", arrival.operation, key, intended)
-            back = await self.hand_in(name, arrival, entry, again)
-            entry.ended = self.loop.time()
-            if back is None:
+    async def _play_one(self, arrival, intended):
+        self._request_count += 1
+        number = self._request_count
+        for retry in range(self.retries + 1):
+            name = self._random.choice([*self.nodes])
+            entry = self.ledger.add_request(
+                f"{name}-{number}-{retry}", arrival.operation, f"k{number}", intended
+            )
+            retry_after = await self._hand_in(name, arrival, entry, is_retry=retry > 0)
+            entry.ended = self._loop.time()
+            if retry_after is None:
                 break
-            await asyncio.sleep(back or self.backoff * 2**again)
-        if entry.answers and entry.answers[0][1] == 200:
-            self.waits.record_value(max(int((entry.answers[0][0] - intended) * 10_000), 1))
-
-    async def hand_in(self, name, arrival, entry, again):
-        """Seconds until it may be handed in anew, 0 where the answer names none; None: it is over."""
-        op, body = arrival.operation, json.dumps({"work_ms": arrival.work * 1000}).encode()
-        headers = {
-            "Host": "node",
-            "X-Request-ID": entry.id,
-            "X-Tenant-Id": arrival.tenant,
-            "X-Priority-Class": op.name,
-            "X-Timeout-Ms": int(op.timeout * 1000),
-            "X-Cost": int(arrival.work * 1e6),
-        }
-        headers |= {"Idempotency-Key": entry.key} if op.effect == "keyed" else {}
-        headers |= {"X-Retried": 1} if again else {}
+            await asyncio.sleep(retry_after or self.backoff * 2**retry)
+        if entry.succeeded:
+            wait = entry.answers[0].time - intended
+            self.waits.record_value(max(int(wait * TICKS_PER_SECOND), 1))
+
+    async def _hand_in(self, name, arrival, entry, is_retry):
+        """Hands in a request once, and notes in its entry what came of it.
+
+        Returns:
+            Seconds until it may be handed in anew, `RETRY_AT_ONCE` where the throttle names no time; None
+            where it is over.
+        """
+        timeout = arrival.operation.timeout + LATE_ANSWER_WAIT
+        if arrival.leaves_after is not None:
+            timeout = arrival.leaves_after
         reader = writer = None
         try:
-            reader, writer = await self.line(name)
-            writer.write(http_messages.format_message(f"POST /{op.name}/{entry.key} HTTP/1.1", body, headers))
-            entry.sent = self.loop.time()
-            # Half a second more than its time: a late answer is to be seen as one.
-            wait = arrival.leaves if arrival.leaves is not None else op.timeout + 0.5
-            async with asyncio.timeout(wait):
-                answer = await http_messages.read_message(reader)
+            reader, writer = await self._connection(name)
+            writer.write(_request(arrival, entry, is_retry))
+            entry.sent = self._loop.time()
+            async with asyncio.timeout(timeout):
+                message = await http_messages.read_message(reader)
         except TimeoutError:
-            entry.left = arrival.leaves is not None
+            entry.left = arrival.leaves_after is not None
             writer.transport.abort()
             return None
         except (OSError, MalformedMessageError, EOFError):
-            # Refused or dead before anything was sent: no node has taken it.
+            # Refused or broken before anything was sent: no node has taken it.
             entry.refused = entry.sent is None
             if writer:
                 writer.close()
             return None
-        if answer is None:
+        if message is None:
             writer.close()
             return None
-        words, told, body = answer
-        status = int(words[1])
-        entry.answers.append((self.loop.time(), status, body))
-        if reader._buffer:  # noqa: SLF001 - bytes behind the whole answer: something was sent after it
-            entry.answers.append((self.loop.time(), 0, b""))
-        if told.get("connection", "").lower() == "close" or len(self.idle[name]) >= IDLE:
+        self._note_answer(entry, message, reader)
+        self._keep_or_close(name, message, reader, writer)
+        return float(message.headers.get("retry-after", RETRY_AT_ONCE)) if entry.throttled else None
+
+    def _note_answer(self, entry, message, reader):
+        entry.answers.append(Answer(self._loop.time(), int(message.start_line[1]), message.body))
+        if reader._buffer:  # noqa: SLF001 - asyncio tells in no other way that more bytes have come.
+            # Nothing may follow an answer: the ledger takes this for a second one.
+            entry.answers.append(Answer(self._loop.time(), 0, b""))
+
+    def _keep_or_close(self, name, message, reader, writer):
+        closes = message.headers.get("connection", "").lower() == "close"
+        if closes or len(self._idle[name]) >= MOST_IDLE_CONNECTIONS:
             writer.close()
         else:
-            self.idle[name].append((reader, writer))
-        return float(told.get("retry-after", 0)) if status in THROTTLED else None
+            self._idle[name].append((reader, writer))
 
-    async def line(self, name):
-        while self.idle[name]:
-            reader, writer = self.idle[name].pop()
+    async def _connection(self, name):
+        """Returns (reader, writer) of a connection to a node, one that was kept where there is one."""
+        while self._idle[name]:
+            reader, writer = self._idle[name].pop()
             if not reader.at_eof() and not writer.is_closing():
                 return reader, writer
             writer.close()
         return await asyncio.open_connection(*self.nodes[name])
 
-    def percentiles(self):
-        """Waits in milliseconds from the intended arrival, of what succeeded."""
-        return {f"p{p:g}": self.waits.get_value_at_percentile(p) / 10 for p in (50, 90, 99, 100)}
+    def wait_percentiles(self):
+        """Returns the waits of requests that succeeded in milliseconds, by "p50" and so on."""
+        return {
+            f"p{percentile:g}": self.waits.get_value_at_percentile(percentile) / TICKS_PER_MILLISECOND
+            for percentile in PERCENTILES
+        }
+
+
+def _request(arrival, entry, is_retry):
+    """Returns the bytes of the request for an entry."""
+    operation = arrival.operation
+    headers = {
+        "Host": "node",
+        "X-Request-ID": entry.id,
+        "X-Tenant-Id": arrival.tenant,
+        "X-Priority-Class": operation.name,
+        "X-Timeout-Ms": int(operation.timeout * 1000),
+        "X-Cost": int(arrival.work * 1e6),
+    }
+    if operation.effect == "keyed":
+        headers["Idempotency-Key"] = entry.key
+    if is_retry:
+        headers["X-Retried"] = 1
+    body = json.dumps({"work_ms": arrival.work * 1000}).encode()
+    return http_messages.format_message(f"POST /{operation.name}/{entry.key} HTTP/1.1", body, headers)
--- a/grebedyke/load/fleet.py
+++ b/grebedyke/load/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet on this machine: discovery, executors and nodes, to be tried by load."""
+"""A small fleet on this machine: discovery and executors emulated here, nodes as processes of their own."""
 
 import asyncio
 import json
@@ -6,6 +6,7 @@
 import socket
 import sys
 import tempfile
+from dataclasses import dataclass
 from pathlib import Path
 
 from grebedyke.emulators import http_messages
@@ -13,179 +14,195 @@
 from grebedyke.emulators.executor import ExecutorEmulator
 from grebedyke.emulators.executor_model import ExecutorModel, ExecutorSettings
 from grebedyke.emulators.faults import FaultScript
+from grebedyke.load.deployment import SPEEDS, ZONES, deployment_settings
 
-KINDS = {"full": 1.0, "slow": 0.6}
-ZONES = "a", "b"
-STARTS = 10.0  # seconds that nodes get to be ready
+START_TIMEOUT = 10.0
+"""Seconds that a node gets to be ready."""
+START_TRIES = 3
+START_POLL_PAUSE = 0.05
+STOP_TIMEOUT = 6.0
+"""Seconds that a node gets to end by itself."""
+
+NODE_COMMAND = (sys.executable, "-m", "grebedyke")
 
 
 def free_port(host="127.0.0.1"):
-    with socket.socket() as s:
-        s.bind((host, 0))
-        return s.getsockname()[1]
-
-
-def settings(operations, nodes, me, zone, zones=ZONES):
-    """A deployment as the platform would tell it: two operations or more, no messages between nodes."""
-    rows = [
-        {
-            "name": op.name,
-            "idempotency": op.effect,
-            "latencyObjectiveMs": 250,
-            "group": "zone",
-            "windowMs": op.window * 1000,
-            "clientTimeoutMs": op.timeout * 1000,
-            "billedValue": 1.0,
-        }
-        for op in operations
-    ]
-    return {
-        "balancers": nodes,
-        "me": me,
-        "tickMs": 5,
-        "zone": zone,
-        "zones": [*zones],
-        "machineTypes": [*KINDS],
-        "operations": rows,
-        "billedValueBy": "work",
-        "limits": {
-            "maxForwards": 4,
-            "connIdleMs": 5000,
-            "connectTimeoutMs": 250,
-            "mayCancel": True,
-            "probes": True,
-            "retryAfter": True,
-            "maxRetryAfterMs": 2000,
-        },
-        "rules": {
-            "coldFrom": 0.3,
-            "rampTimeMs": 2000,
-            "fallMultiple": 3,
-            "tipAfterMs": 1000,
-            "drainGraceMs": 2000,
-        },
-        "familyInfo": {"tellsStart": True, "progressMs": 0, "classStretch": [2.5] * len(operations)},
-        "telemetry": {"fields": ["x0", "rif"], "how": "inline"},
-        "registryMode": "push",
-        "parties": [{"name": "t", "quotaRps": 1000}],
-    }
-
-
-class Fleet:
-    """Discovery, executors and nodes of one run; `node`: the command that starts one."""
-
-    def __init__(
-        self,
-        operations,
-        nodes=3,
-        executors=6,
-        command=(sys.executable, "-m", "grebedyke"),
-        faults=None,
-        seed=0,
-        slots=4,
-        cold=0.3,
-        zones=ZONES,
-    ):
-        self.operations, self.command, self.faults, self.seed = operations, command, faults or {}, seed
-        self.count, self.slots, self.cold, self.host = executors, slots, cold, "127.0.0.1"
-        self.zones = zones
+    """Returns a port that no one listens on; another process may take it before it is used."""
+    with socket.socket() as probe:
+        probe.bind((host, 0))
+        return probe.getsockname()[1]
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class FleetShape:
+    """The size of a fleet.
+
+    Attributes:
+        nodes: How many nodes.
+        executors: How many executors, over all zones and kinds in turn.
+        slots: How many jobs run at an executor at the same time.
+        cold_capacity: Share of its capacity that an executor has when it is started again.
+        zones: Names of the zones.
+    """
+
+    nodes: int = 3
+    executors: int = 6
+    slots: int = 4
+    cold_capacity: float = 0.3
+    zones: tuple[str, ...] = ZONES
+
+
+class LocalFleet:
+    """Discovery, executors and nodes of one run.
+
+    Attributes:
+        operations: Each `Operation` of the deployment.
+        shape: The `FleetShape`.
+        command: Starts a node.
+        faults: Each `Fault` of an executor, by its name.
+        seed: Of the nodes and of the executors' faults.
+        host: Where the nodes listen.
+        folder: A temporary folder with the nodes' files and logs.
+        nodes: Addresses by the node's name.
+        processes: The nodes' processes by name.
+        discovery: The `DiscoveryEmulator`.
+        executors: Each `ExecutorEmulator` by its name.
+    """
+
+    def __init__(self, operations, shape=None, command=NODE_COMMAND, faults=None, seed=0):
+        self.operations = operations
+        self.shape = shape or FleetShape()
+        self.command = command
+        self.faults = faults or {}
+        self.seed = seed
+        self.host = "127.0.0.1"
         self.folder = tempfile.TemporaryDirectory(prefix="grebedyke-")
-        # Ports are drawn when a node starts: drawn before, those of executors' listeners could take them.
-        self.nodes = dict.fromkeys((f"n{i}" for i in range(nodes)), None)
-        self.discovery, self.executors, self.processes = None, {}, {}
+        # A node's port is drawn when it starts: drawn before, an executor's listener could be given it.
+        self.nodes = dict.fromkeys(f"n{number}" for number in range(self.shape.nodes))
+        self.processes = {}
+        self.discovery = None
+        self.executors = {}
 
     async def start(self):
+        """Starts all of it; returns the fleet once the nodes are ready.
+
+        Raises:
+            OSError: A node did not start.
+        """
         self.discovery = await DiscoveryEmulator().listen()
-        known = {}
-        for i in range(self.count):
-            name, zone = f"s-{i}", self.zones[i % len(self.zones)]
-            kind = [*KINDS][i // len(self.zones) % len(KINDS)]
-            # Already warm, as a fleet is that has run for a while; a restart is cold.
-            capacity = ExecutorSettings(
-                slots=self.slots, speed=KINDS[kind], cold_capacity=self.cold, warm_up_time=2.0
-            )
-            model = ExecutorModel(capacity, started_at=-10.0)
-            # The executors of a zone drop each other's repeats.
-            model.effect_times = known.setdefault(zone, {})
-            script = FaultScript(self.faults.get(name, ()), self.seed + i)
-            executor = ExecutorEmulator(name, self.nodes, model, script)
-            self.executors[name] = await executor.listen()
-            self.discovery.add(name, executor.address, zone, kind)
-        await asyncio.gather(*(self.open(name) for name in self.nodes))
+        effect_times_by_zone = {zone: {} for zone in self.shape.zones}
+        for number in range(self.shape.executors):
+            await self._start_executor(number, effect_times_by_zone)
+        await asyncio.gather(*(self.start_node(name) for name in self.nodes))
         return self
 
-    async def open(self, name):
-        for tries in range(3):
-            self.nodes[name] = self.host, free_port(self.host)
+    async def _start_executor(self, number, effect_times_by_zone):
+        name = f"s-{number}"
+        zones = self.shape.zones
+        zone = zones[number % len(zones)]
+        kind = [*SPEEDS][number // len(zones) % len(SPEEDS)]
+        settings = ExecutorSettings(
+            slots=self.shape.slots,
+            speed=SPEEDS[kind],
+            cold_capacity=self.shape.cold_capacity,
+            warm_up_time=2.0,
+        )
+        # Warm already, as in a fleet that has run for a while; a restart is cold.
+        model = ExecutorModel(settings, started_at=-10.0)
+        # The executors of a zone drop each other's repeats.
+        model.effect_times = effect_times_by_zone[zone]
+        script = FaultScript(self.faults.get(name, ()), self.seed + number)
+        executor = ExecutorEmulator(name, self.nodes, model, script)
+        self.executors[name] = await executor.listen()
+        self.discovery.add(name, executor.address, zone, kind)
+
+    async def start_node(self, name):
+        """Starts a node at a free port and waits until it is ready."""
+        for tries_left in reversed(range(START_TRIES)):
+            self.nodes[name] = (self.host, free_port(self.host))
             try:
                 return await self.launch(name)
             except OSError as problem:
-                # Between the drawing of a port and its use another connection may have been given it.
-                if tries == 2 or "in use" not in str(problem):
+                # Another connection may have been given the port since it was drawn.
+                if not tries_left or "in use" not in str(problem):
                     raise
 
     async def launch(self, name):
+        """Starts a node at the address that it has and waits until it is ready.
+
+        Raises:
+            OSError: It is not ready in time, or has ended.
+        """
+        loop = asyncio.get_running_loop()
         process = await self.spawn(name)
-        end = asyncio.get_running_loop().time() + STARTS
-        while (await http_messages.call(self.nodes[name], "GET", "/up", timeout=0.5)).status != 200:
-            if process.returncode is not None or asyncio.get_running_loop().time() > end:
-                text = Path(self.folder.name, f"{name}.log").read_text(errors="replace").strip()
-                last = text.splitlines()[-1] if text else "it said nothing"
-                raise OSError("node %s at %s:%d did not start: %s" % (name, *self.nodes[name], last))
-            await asyncio.sleep(0.05)
+        deadline = loop.time() + START_TIMEOUT
+        while not await self.is_ready(name):
+            if process.returncode is not None or loop.time() > deadline:
+                host, port = self.nodes[name]
+                raise OSError(f"node {name} at {host}:{port} did not start: {self._last_log_line(name)}")
+            await asyncio.sleep(START_POLL_PAUSE)
+
+    async def is_ready(self, name):
+        """Returns whether a node says that it is ready."""
+        response = await http_messages.call(self.nodes[name], "GET", "/up", timeout=0.5)
+        return response.status == 200
+
+    def _last_log_line(self, name):
+        text = Path(self.folder.name, f"{name}.log").read_text(errors="replace").strip()
+        return text.splitlines()[-1] if text else "it said nothing"
 
     async def spawn(self, name):
         """Starts a node's process at the address that it has, and waits for nothing."""
-        me = [*self.nodes].index(name)
         path = Path(self.folder.name, f"{name}.json")
-        path.write_text(
-            json.dumps(
-                {
-                    "name": name,
-                    "listen": "%s:%d" % self.nodes[name],
-                    "discovery": "%s:%d" % self.discovery.address,
-                    "seed": f"{self.seed}-{name}",
-                    "known": self.discovery.listing(),
-                    "settings": settings(
-                        self.operations, len(self.nodes), me, self.zones[me % len(self.zones)], self.zones
-                    ),
-                }
-            )
-        )
-        log = open(Path(self.folder.name, f"{name}.log"), "ab")
-        environ = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
+        path.write_text(json.dumps(self.node_configuration(name)))
+        environ = {key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")}
         environ |= {"BALANCER_CONFIG": str(path), "BALANCER_COUNTS": "1", "TMPDIR": self.folder.name}
-        with log:
+        with open(Path(self.folder.name, f"{name}.log"), "ab") as log:
             process = await asyncio.create_subprocess_exec(
                 *self.command, env=environ, stderr=log, stdin=asyncio.subprocess.DEVNULL
             )
         self.processes[name] = process
         return process
 
-    async def drain(self, name):
-        """As a deploy takes one away: told as draining, it finishes what it has."""
+    def node_configuration(self, name):
+        """Returns what is in a node's configuration file."""
+        number = [*self.nodes].index(name)
+        zones = self.shape.zones
+        zone = zones[number % len(zones)]
+        return {
+            "name": name,
+            "listen": "%s:%d" % self.nodes[name],
+            "discovery": "%s:%d" % self.discovery.address,
+            "seed": f"{self.seed}-{name}",
+            "known": self.discovery.listing(),
+            "settings": deployment_settings(self.operations, len(self.nodes), number, zone, zones),
+        }
+
+    async def drain_executor(self, name):
+        """Lists an executor as draining, as a deployment does: it finishes the jobs that it has."""
         await self.discovery.change(name, status="Terminating")
 
-    async def kill(self, name):
+    async def kill_executor(self, name):
+        """Ends an executor and takes it off the list."""
         await self.executors[name].close()
         await self.discovery.change(name, status="Gone")
 
-    def fill(self, ledger):
-        """What executors and discovery have seen goes into the ledger."""
+    def report_to(self, ledger):
+        """Adds to a ledger what executors and discovery have seen."""
         for name, executor in self.executors.items():
-            ledger.ran(name, executor.model.effects)
-            ledger.reached(name, executor.arrivals)
-        for at, name, _ in self.discovery.notices:
-            ledger.drained(name, at)
+            ledger.add_effects(name, executor.model.effects)
+            ledger.add_arrivals(name, executor.arrivals)
+        for notice in self.discovery.notices:
+            ledger.add_removal(notice.name, notice.time)
 
     async def close(self):
-        """Ends the nodes as operators do, then whoever does not end."""
+        """Ends the nodes as operators do, then by force those that do not end, and all the rest."""
         for process in self.processes.values():
             if process.returncode is None:
                 process.terminate()
         for process in self.processes.values():
             try:
-                await asyncio.wait_for(process.wait(), 6)
+                await asyncio.wait_for(process.wait(), STOP_TIMEOUT)
             except TimeoutError:
                 process.kill()
                 await process.wait()
--- a/grebedyke/load/report.py
+++ b/grebedyke/load/report.py
@@ -1,41 +1,54 @@
-"""A run as text and as JSON."""
+"""What a run came to, as JSON and as text."""
 
 import json
 
+MOST_LISTED_VIOLATIONS = 20
 
-def summary(clients, broken):
-    """Plain types: counts by outcome, waits in milliseconds, how late the tool ran, broken rules.
+NOTABLE_LAG_MS = 50
+"""The load tool's own lag from which the waits hold a notable part of it."""
 
-    `broken`: None where they could not be judged, as nobody told what took effect.
+
+def summarize(clients, violations):
+    """Returns a run's summary as it is written to JSON.
+
+    Args:
+        clients: The run's `OpenLoopClients`.
+        violations: Each `Violation`; None where nobody told what took effect, so that none could be judged.
     """
-    judged, broken = broken is not None, broken or []
     return {
-        "judged": judged,
+        "judged": violations is not None,
         "counts": dict(clients.ledger.counts()),
-        "waits_ms": clients.percentiles(),
-        "tool_late_ms": round(clients.late * 1000, 1),
-        "broken": [{"rule": b.rule, "id": b.id, "what": b.what} for b in broken],
+        "waits_ms": clients.wait_percentiles(),
+        "tool_late_ms": round(clients.lag * 1000, 1),
+        "broken": [
+            {"rule": int(violation.rule), "id": violation.id, "what": violation.description}
+            for violation in violations or []
+        ],
     }
 
 
-def text(told):
-    """Lines for people."""
-    counts, waits = told["counts"], told["waits_ms"]
-    yield "invocations   " + "  ".join(f"{name} {n}" for name, n in counts.items())
-    yield "waits (ms, from the intended arrival)   " + "  ".join(f"{k} {v:.1f}" for k, v in waits.items())
-    if told["tool_late_ms"] > 50:
-        yield f"the load tool itself ran {told['tool_late_ms']:.0f} ms late: the waits hold some of that"
-    for b in told["broken"][:20]:
-        yield f"rule {b['rule']} broken by {b['id']}: {b['what']}"
-    if len(told["broken"]) > 20:
-        yield f"and {len(told['broken']) - 20} more"
-    if told["judged"]:
-        yield f"rules: {len(told['broken'])} broken" if told["broken"] else "rules: all kept"
-    else:
+def text_lines(summary):
+    """Yields the lines of a summary for people."""
+    broken = summary["broken"]
+    counts = "  ".join(f"{name} {count}" for name, count in summary["counts"].items())
+    waits = "  ".join(f"{name} {wait:.1f}" for name, wait in summary["waits_ms"].items())
+    yield f"invocations   {counts}"
+    yield f"waits (ms, from the intended arrival)   {waits}"
+    lag = summary["tool_late_ms"]
+    if lag > NOTABLE_LAG_MS:
+        yield f"the load tool itself ran {lag:.0f} ms late: the waits hold some of that"
+    for row in broken[:MOST_LISTED_VIOLATIONS]:
+        yield f"rule {row['rule']} broken by {row['id']}: {row['what']}"
+    if len(broken) > MOST_LISTED_VIOLATIONS:
+        yield f"and {len(broken) - MOST_LISTED_VIOLATIONS} more"
+    if not summary["judged"]:
         yield "rules: not judged, as no executor was named to tell what took effect"
+    else:
+        yield f"rules: {len(broken)} broken" if broken else "rules: all kept"
 
 
-def write(path, told):
+def write(path, summary):
+    """Writes a summary as JSON."""
     with open(path, "w") as file:
-        json.dump(told, file, indent=1)
+        json.dump(summary, file, indent=1)
         file.write("\n")
--- a/grebedyke/rig/fleet.py
+++ b/grebedyke/rig/fleet.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 
 from grebedyke.emulators import http_messages
-from grebedyke.load import fleet as plain
+from grebedyke.load.deployment import ZONES, deployment_settings
+from grebedyke.load.fleet import START_TIMEOUT, FleetShape, LocalFleet, free_port
 from grebedyke.rig.doors import Door
 from grebedyke.rig.links import Links
 
@@ -20,7 +21,7 @@
 LEASE, WAIT, GRACE, RAMP, WINDOW, DRIFT = 1.0, 0.1, 0.5, 1.0, 0.5, 0.02
 
 
-class Rig(plain.Fleet):
+class Rig(LocalFleet):
     """`words`: whether nodes lend each other executors as well; `older`: the tree of another version, each
     start draws which of the two runs; `shares`: the limits of the whole fleet, as in a configuration.
     """
@@ -35,10 +36,11 @@
         words=False,
         maintenance=True,
         older=None,
-        zones=plain.ZONES,
+        zones=ZONES,
         shares=None,
     ):
-        super().__init__(operations, nodes, executors, LAUNCH, seed=seed, zones=zones)
+        shape = FleetShape(nodes=nodes, executors=executors, zones=zones)
+        super().__init__(operations, shape, LAUNCH, seed=seed)
         self.older, self.shares = older, shares
         self.voters, self.words, self.maintenance = list(range(min(voters, nodes))), words, maintenance
         # A node that starts anew needs its own address back: nothing of another round is on this one.
@@ -65,10 +67,10 @@
     def told(self, name):
         """What is in a node's file; its ports are drawn when it first starts."""
         i = self.number(name)
-        self.consoles[name] = self.consoles.get(name) or (self.host, plain.free_port(self.host))
-        self.own[name] = self.own.get(name) or (self.host, plain.free_port(self.host))
-        zone = self.zones[i % len(self.zones)]
-        settings = plain.settings(self.operations, len(self.nodes), i, zone, self.zones)
+        self.consoles[name] = self.consoles.get(name) or (self.host, free_port(self.host))
+        self.own[name] = self.own.get(name) or (self.host, free_port(self.host))
+        zone = self.shape.zones[i % len(self.shape.zones)]
+        settings = deployment_settings(self.operations, len(self.nodes), i, zone, self.shape.zones)
         settings["limits"]["peerMessages"] = self.words
         settings["rules"] |= {"drainGraceMs": GRACE * 1000, "rampTimeMs": RAMP * 1000}
         for row in settings["operations"]:
@@ -120,7 +122,7 @@
                 *self.command, env=environ, stderr=log, stdin=asyncio.subprocess.DEVNULL, cwd=tree
             )
         self.processes[name], self.lives[name] = process, self.lives[name] + 1
-        end = asyncio.get_running_loop().time() + plain.STARTS
+        end = asyncio.get_running_loop().time() + START_TIMEOUT
         while (await http_messages.call(self.nodes[name], "GET", "/up", timeout=0.5)).status != 200:
             if process.returncode is not None or asyncio.get_running_loop().time() > end:
                 if self.lives[name] == 1:
--- a/grebedyke/rig/judge.py
+++ b/grebedyke/rig/judge.py
@@ -40,7 +40,7 @@
 
     def rules(self, ledger, nodes, limited=False):
         """Rules 1 to 3; what a killed or stopped process had taken is its own loss."""
-        for broken in ledger.judge():
+        for broken in ledger.violations():
             entry, node = ledger.entries[broken.id], broken.id.partition("-")[0]
             due = (entry.sent or 0) + entry.operation.timeout + 1
             lost = broken.rule == 1 and any(
@@ -57,7 +57,7 @@
                 since = [round((entry.sent or 0) - a, 3) for a, _ in self.stopped[node]]
                 self.fault(
                     f"rule {broken.rule}",
-                    f"{broken.id}: {broken.what}; its client's end came {ended} s after it was sent, "
+                    f"{broken.id}: {broken.description}; its client's end came {ended} s after it was sent, "
                     f"{since} s after its node was told to end",
                 )
         counts = ledger.counts()
@@ -75,9 +75,9 @@
             mine = {
                 id: entry
                 for id, entry in ledger.entries.items()
-                if limit.get("operation") in (None, entry.operation.name) and ledger.forwards[id]
+                if limit.get("operation") in (None, entry.operation.name) and ledger.arrivals[id]
             }
-            came = sorted((min(at for at, _ in ledger.forwards[id]), id) for id in mine)
+            came = sorted((min(at for at, _ in ledger.arrivals[id]), id) for id in mine)
             self.done[f"limit {limit['name']}"] += len(came)
             if "rate" in limit:
                 level = room = limit["burst"] + limit["rate"] * late
@@ -87,9 +87,9 @@
                     if level < 0:
                         return self.fault("over the rate", f"{limit['name']} by {-level:.1f} at {id}")
                 continue
-            ends = [(max(at for at, _ in ledger.runs[id]), -1) for _, id in came if ledger.runs[id]]
+            ends = [(max(at for at, _ in ledger.effects[id]), -1) for _, id in came if ledger.effects[id]]
             under_way = 0
-            for at, change in sorted([(at, 1) for at, id in came if ledger.runs[id]] + ends):
+            for at, change in sorted([(at, 1) for at, id in came if ledger.effects[id]] + ends):
                 under_way += change
                 if under_way > limit["underWay"]:
                     return self.fault("too many under way", f"{limit['name']}: {under_way} at {at:.3f}")
--- a/grebedyke/rig/rounds.py
+++ b/grebedyke/rig/rounds.py
@@ -7,15 +7,15 @@
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-from grebedyke.load import shape
-from grebedyke.load.clients import Clients
+from grebedyke.load.arrivals import LoadShape, Operation, draw_arrivals
+from grebedyke.load.clients import OpenLoopClients
 from grebedyke.rig.fleet import GRACE, RAMP, Rig
 from grebedyke.rig.judge import Judge
 
 OPERATIONS = (
-    shape.Operation("hold", "keyed", share=0.4),
-    shape.Operation("confirm", "unsafe", share=0.3),
-    shape.Operation("view", "safe", share=0.3),
+    Operation("hold", "keyed", share=0.4),
+    Operation("confirm", "unsafe", share=0.3),
+    Operation("view", "safe", share=0.3),
 )
 # From the end of the last fault: by then the plan has ended, at any machine's pace.
 CALM = 60.0
@@ -71,18 +71,16 @@
         try:
             await rig.start()
             await self.until(lambda all_: all(s and s["sure"] for s in all_), "sure at the start")
-            clients = Clients(rig.nodes, seed=self.seed)
-            plan = shape.arrivals(
-                self.seed, "poisson", RATE, self.seconds + 4, "exponential", 0.05, OPERATIONS
-            )
-            load = asyncio.ensure_future(clients.play(plan))
+            clients = OpenLoopClients(rig.nodes, seed=self.seed)
+            shape = LoadShape(operations=OPERATIONS, rate=RATE, seconds=self.seconds + 4, mean_work=0.05)
+            load = asyncio.ensure_future(clients.play(draw_arrivals(self.seed, shape)))
             self.tasks += [asyncio.ensure_future(self.work()), asyncio.ensure_future(self.trouble())]
             await (self.by_script() if self.script else self.by_plan())
             await self.tasks[1]
             await self.heal()
             await load
             await self.until(lambda all_: all(s and s["sure"] and not s["plan"] for s in all_), "plans end")
-            rig.fill(clients.ledger)
+            rig.report_to(clients.ledger)
             judge.rules(clients.ledger, rig.nodes, bool(self.shares))
             judge.limits(clients.ledger, self.shares or (), LATE)
             judge.logs(rig.events(), 2, {f"node:{v}" for v in rig.voters})
--- a/grebedyke/rig/scale.py
+++ b/grebedyke/rig/scale.py
@@ -24,8 +24,8 @@
 from grebedyke.emulators.executor import ExecutorEmulator
 from grebedyke.emulators.executor_model import ExecutorModel, ExecutorSettings
 from grebedyke.emulators.faults import FaultScript
-from grebedyke.load import fleet as plain
-from grebedyke.load import shape
+from grebedyke.load.arrivals import Operation
+from grebedyke.load.deployment import deployment_settings
 from grebedyke.rig.figures import compared, over_limits, rows_of, yardstick
 from grebedyke.rig.fleet import DRIFT, GRACE, RAMP, WINDOW
 from grebedyke.rig.looking import UNTIL, Looking
@@ -35,7 +35,7 @@
 # Regions: three zones and two, so that at most one side of a cut has a majority.
 REGIONS = frozenset("abc"), frozenset("de")
 TEAMS = 34
-OPERATION = shape.Operation("task", "safe")
+OPERATION = Operation("task", "safe")
 SCENES = {
     "calm": "each node wants the limits of two teams",
     "peak": "each node wants the limits of all teams, and a plan of machines is under way",
@@ -258,7 +258,7 @@
         return {"leaseMs": self.lease * 1000, "drift": DRIFT, "runMs": self.hold * 1000, "limits": limits}
 
     def told(self, node, folder):
-        settings = plain.settings([OPERATION], self.count, node, self.zones[node], ZONES)
+        settings = deployment_settings([OPERATION], self.count, node, self.zones[node], ZONES)
         settings["parties"] = [{"name": team(i), "quotaRps": 1000} for i in range(TEAMS)]
         settings["rules"] |= {"drainGraceMs": GRACE * 1000, "rampTimeMs": RAMP * 1000}
         settings["operations"][0]["windowMs"] = WINDOW * 1000
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,8 +11,8 @@
 from grebedyke.commands.main import cli
 from grebedyke.consensus.actions import SendMessage
 from grebedyke.errors import ConfigurationError
-from grebedyke.load import shape
-from grebedyke.load.clients import Clients
+from grebedyke.load.arrivals import LoadShape, draw_arrivals
+from grebedyke.load.clients import OpenLoopClients
 from grebedyke.model import IDEMPOTENT, MOOT, OK
 from grebedyke.rate_limits import messages, settings
 from grebedyke.rate_limits.allocation import AllocationTable, AllocationTimes
@@ -326,7 +326,8 @@
     Returns:
         The next holder with its term, and each node's row of the first limit.
     """
-    plan = shape.arrivals(77, "poisson", 85, 14, "exponential", 0.03, rounds.OPERATIONS)
+    shape = LoadShape(operations=rounds.OPERATIONS, rate=85, seconds=14, mean_work=0.03)
+    plan = draw_arrivals(77, shape)
     load = asyncio.ensure_future(clients.play(plan))
     await asyncio.sleep(3)
     await rig.end(first_holder)
@@ -359,9 +360,9 @@
         try:
             await rig.start()
             first = await lease_holder(rig)
-            clients = Clients(rig.nodes, seed=77, retries=0)
+            clients = OpenLoopClients(rig.nodes, seed=77, retries=0)
             second, shares = await lose_holder_and_halve(rig, first[0], limits, clients)
-            rig.fill(clients.ledger)
+            rig.report_to(clients.ledger)
             judge = Judge()
             judge.limits(clients.ledger, limits, rounds.LATE)
             return first, second, shares, clients.ledger.counts(), judge
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The stand-ins, the ledger and the load tool, and nodes that are broken on purpose."""
+"""The emulators, the ledger and the load tool, and nodes that are broken on purpose."""
 
 import asyncio
 import json
@@ -14,14 +14,14 @@
 from grebedyke.emulators.executor import ExecutorEmulator
 from grebedyke.emulators.executor_model import Admission, ExecutorModel, ExecutorSettings
 from grebedyke.emulators.faults import FaultKind, FaultScript, parse_fault
-from grebedyke.load import shape
-from grebedyke.load.clients import Clients
-from grebedyke.load.fleet import Fleet
-from grebedyke.load.ledger import Ledger
+from grebedyke.load.arrivals import ArrivalPattern, LoadShape, Operation, SizeLaw, draw_arrivals
+from grebedyke.load.clients import OpenLoopClients
+from grebedyke.load.fleet import FleetShape, LocalFleet
+from grebedyke.load.ledger import Answer, Ledger
 
-PAY = shape.Operation("pay", "unsafe", 1.0)
-HOLD = shape.Operation("hold", "keyed", 1.0)
-VIEW = shape.Operation("view", "safe", 1.0)
+PAY = Operation("pay", "unsafe", 1.0)
+HOLD = Operation("hold", "keyed", 1.0)
+VIEW = Operation("view", "safe", 1.0)
 
 
 def test_a_cold_executor_dies_of_more_than_its_multiple_and_a_warm_one_does_not():
@@ -50,7 +50,7 @@
     assert len(executor.effects) == 5
 
 
-def test_a_waiting_job_that_is_given_up_never_runs():
+def test_a_waiting_job_that_is_cancelled_never_runs():
     executor = ExecutorModel(ExecutorSettings(slots=1), started_at=-99)
     executor.submit(0, "a", "", "op", 1)
     executor.submit(0, "b", "", "op", 1)
@@ -157,61 +157,69 @@
 
 
 def test_the_ledger_finds_each_broken_rule_and_no_other():
-    def entry(op, answers, runs=(), forwards=((0.1, "s"),), sent=0.0):
-        return op, answers, runs, forwards, sent
+    def entry(operation, answers, effects=(), arrivals=((0.1, "s"),), sent=0.0):
+        return operation, answers, effects, arrivals, sent
 
-    for op, answers, runs, forwards, sent, rules in (
+    for operation, answers, effects, arrivals, sent, rules in (
         (*entry(VIEW, [(0.5, 200, b"")]), []),
         (*entry(VIEW, []), [1]),
         (*entry(VIEW, [(1.2, 500, b"")]), [1]),
         (*entry(VIEW, [(1.04, 500, b"")]), []),
         (*entry(VIEW, [(0.5, 200, b""), (0.6, 0, b"")]), [1]),
-        (*entry(VIEW, [(0.5, 200, b"")], forwards=()), [1]),
+        (*entry(VIEW, [(0.5, 200, b"")], arrivals=()), [1]),
         (*entry(VIEW, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), []),
         (*entry(PAY, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), [2]),
         (*entry(PAY, [(0.5, 503, b"")], [(0.1, "s")]), [2]),
         (*entry(PAY, [(0.5, 500, b"")], [(0.1, "s")]), []),
         (*entry(HOLD, [(0.5, 503, b"")], [(0.1, "s")]), []),
         (*entry(HOLD, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), [2]),
-        (*entry(VIEW, [(0.5, 200, b"")], forwards=[(5.0, "drained")]), []),
-        (*entry(VIEW, [(0.5, 200, b"")], forwards=[(5.1, "drained")]), [3]),
+        (*entry(VIEW, [(0.5, 200, b"")], arrivals=[(5.0, "drained")]), []),
+        (*entry(VIEW, [(0.5, 200, b"")], arrivals=[(5.1, "drained")]), [3]),
         (*entry(VIEW, [], sent=None), []),
     ):
-        ledger = Ledger(grace=2.0)
-        e = ledger.enter("n-1-0", op, "k", 0.0)
-        e.sent, e.answers, e.refused = sent, answers, sent is None
-        for at, executor in runs:
-            ledger.ran(executor, [("n-1-0", "k", op.name, at)])
-        for at, executor in forwards:
-            ledger.reached(executor, [("n-1-0", at)])
-        ledger.drained("drained", 1.0)
-        ledger.drained("drained", 3.0)  # the last node heard of it then
-        assert [b.rule for b in ledger.judge()] == rules, (op, answers, runs, forwards)
+        ledger = Ledger(drain_grace=2.0)
+        request = ledger.add_request("n-1-0", operation, "k", 0.0)
+        request.sent = sent
+        request.answers = [Answer(*answer) for answer in answers]
+        request.refused = sent is None
+        for time, executor in effects:
+            ledger.add_effects(executor, [("n-1-0", "k", operation.name, time)])
+        for time, executor in arrivals:
+            ledger.add_arrivals(executor, [("n-1-0", time)])
+        ledger.add_removal("drained", 1.0)
+        ledger.add_removal("drained", 3.0)  # The last node learns of it then.
+        violations = ledger.violations()
+        assert [violation.rule for violation in violations] == rules, (operation, answers, effects, arrivals)
 
 
 def play(operation, faults=None, patch="", drain=False, grace=2.0, seconds=2.0):
-    """Broken rules of a small fleet under load; `patch` runs in each node's program before it starts."""
+    """Returns counts and violations of a small fleet under load; `patch` is run first in each node."""
     start = f"import sys; {patch}\nfrom grebedyke.__main__ import main\nsys.argv = ['n']\nsys.exit(main())"
 
     async def story():
-        fleet = Fleet(
+        fleet = LocalFleet(
             (operation,),
-            nodes=2,
-            executors=4,
+            FleetShape(nodes=2, executors=4),
             command=(sys.executable, "-c", start),
             faults={name: [parse_fault(x)] for name, x in (faults or {}).items()},
         )
         try:
             await fleet.start()
-            clients = Clients(fleet.nodes, Ledger(grace), retries=0)
-            plan = shape.arrivals(3, "poisson", 30, seconds, "constant", 0.05, (operation,))
-            playing = asyncio.ensure_future(clients.play(plan))
+            clients = OpenLoopClients(fleet.nodes, Ledger(grace), retries=0)
+            shape = LoadShape(
+                operations=(operation,),
+                rate=30,
+                seconds=seconds,
+                size_law=SizeLaw.CONSTANT,
+                mean_work=0.05,
+            )
+            playing = asyncio.ensure_future(clients.play(draw_arrivals(3, shape)))
             if drain:
                 await asyncio.sleep(0.3)
-                await fleet.drain("s-0")
+                await fleet.drain_executor("s-0")
             await playing
-            fleet.fill(clients.ledger)
-            return clients.ledger.counts(), clients.ledger.judge()
+            fleet.report_to(clients.ledger)
+            return clients.ledger.counts(), clients.ledger.violations()
         finally:
             await fleet.close()
 
@@ -252,25 +260,35 @@
     )
     with ThreadPoolExecutor(3) as beside:  # each is a fleet of its own, and mostly waits
         played = list(beside.map(lambda case: play(*case[:4], grace=0.3), cases))
-    for (*_, rule, word), (counts, broken) in zip(cases, played, strict=True):
+    for (*_, rule, part), (counts, violations) in zip(cases, played, strict=True):
         assert counts["taken"] > 20, counts
-        assert {b.rule for b in broken} == ({rule} if rule else set()), broken[:3]
-        assert not rule or any(word in b.what for b in broken), broken[:3]
+        assert {violation.rule for violation in violations} == ({rule} if rule else set()), violations[:3]
+        assert not rule or any(part in violation.description for violation in violations), violations[:3]
 
 
 def test_arrivals_are_the_same_for_a_seed_and_bounded():
-    def plan(seed):
-        return shape.arrivals(seed, "burst", 40, 10, "pareto", 0.1, (PAY, VIEW), ("t", "u"), 0.1)
-
-    assert plan(4) == plan(4) != plan(5) and {a.operation for a in plan(4)} == {PAY, VIEW}
-    bursts = sum(a.at % 5 < 1 for a in plan(4))
-    assert bursts > len(plan(4)) / 3  # a fifth of the time, three times the rate
+    shape = LoadShape(
+        operations=(PAY, VIEW),
+        rate=40,
+        seconds=10,
+        pattern=ArrivalPattern.BURST,
+        size_law=SizeLaw.PARETO,
+        mean_work=0.1,
+        tenants=("t", "u"),
+        leaving=0.1,
+    )
+    arrivals = draw_arrivals(4, shape)
+    assert arrivals == draw_arrivals(4, shape) != draw_arrivals(5, shape)
+    assert {arrival.operation for arrival in arrivals} == {PAY, VIEW}
+    in_bursts = sum(arrival.time % 5 < 1 for arrival in arrivals)
+    assert in_bursts > len(arrivals) / 3  # A fifth of the time, three times the rate.
     for rate, seconds in ((1e6, 3600), (0, 5), (1, 0), (1, 1e6)):
         with pytest.raises(ValueError, match="out of bounds"):
-            shape.arrivals(1, "poisson", rate, seconds, "constant", 0.1, (PAY,))
+            shape = LoadShape(operations=(PAY,), rate=rate, seconds=seconds, mean_work=0.1)
+            draw_arrivals(1, shape)
 
 
-def test_commands_say_in_one_line_what_is_wrong(tmp_path):
+def test_commands_report_bad_input_in_one_line(tmp_path):
     for words, code, line in (
         (("load", "--node", "a=10.0.0.1:9"), 2, "10.0.0.1 is not a loopback address"),
         (("load", "--node", "a=127.0.0.1"), 2, "127.0.0.1 is not host:port"),
@@ -289,21 +307,21 @@
         (("fleet-log", "--span", "0", str(tmp_path)), 2, "--span is out of its range"),
     ):
         result = CliRunner().invoke(cli, words)
-        told = result.output.strip()
-        assert result.exit_code == code and line in told and told.count("\n") == 0, (words, told)
+        message = result.output.strip()
+        assert result.exit_code == code and line in message and message.count("\n") == 0, (words, message)
     # Nobody listens there: all are refused, and that is no broken rule of a node's.
     result = CliRunner().invoke(
-        cli, ("load", "--node", "a=127.0.0.1:9", "--seconds", "0.5", "--json", str(tmp_path / "told.json"))
+        cli, ("load", "--node", "a=127.0.0.1:9", "--seconds", "0.5", "--json", str(tmp_path / "summary.json"))
     )
-    told = json.loads((tmp_path / "told.json").read_text())
-    assert result.exit_code == 0 and told["counts"]["refused"] > 0 == told["counts"]["taken"]
-    assert "rules: not judged" in result.output and not told["judged"]
+    summary = json.loads((tmp_path / "summary.json").read_text())
+    assert result.exit_code == 0 and summary["counts"]["refused"] > 0 == summary["counts"]["taken"]
+    assert "rules: not judged" in result.output and not summary["judged"]
 
 
 def test_the_demo_serves_through_a_death_and_a_hang(tmp_path):
     result = CliRunner().invoke(
         cli, ("demo", "--seconds", "4", "--rate", "30", "--json", str(tmp_path / "d"))
     )
-    told = json.loads((tmp_path / "d").read_text())
+    summary = json.loads((tmp_path / "d").read_text())
     assert result.exit_code == 0 and "rules: all kept" in result.output and "is killed" in result.output
-    assert told["counts"]["succeeded"] > 60 and told["broken"] == []
+    assert summary["counts"]["succeeded"] > 60 and summary["broken"] == []
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -11,7 +11,7 @@
 
 from grebedyke.commands.main import cli
 from grebedyke.emulators import http_messages
-from grebedyke.load import fleet as plain
+from grebedyke.load.deployment import deployment_settings
 from grebedyke.rig import rounds
 from grebedyke.rig.fleet import Rig
 from grebedyke.rig.judge import Judge
@@ -277,4 +277,4 @@
         env={**os.environ, "PYTHONPATH": "."},
     )
     assert told.stdout.strip() == "[]"
-    assert plain.settings(rounds.OPERATIONS, 3, 0, "a")["limits"].get("peerMessages") is None
+    assert deployment_settings(rounds.OPERATIONS, 3, 0, "a")["limits"].get("peerMessages") is None
