--- a/grebedyke/rig/taps.py
+++ b/grebedyke/rig/taps.py
@@ -100,14 +100,18 @@
 
     def learned(self, now, key, value):
         self.learned_at = now
-        self.knows[key] = self.seen.learned(self.me, key, self.agreement.learned[key][0], value)
+        self.knows[key] = self.seen.learned(
+            self.me, key, tuple(self.agreement.chosen_values.by_key[key].ballot), value
+        )
 
     def ready(self, now):
         """Whether this node may do all that its parts are for: its view is sure, its shares are in force."""
         return self.parts.begun and all(
-            part.sure(now) if hasattr(part, "sure") else part.share_client.has_current_shares(now)
+            part.view_is_certain(now)
+            if hasattr(part, "view_is_certain")
+            else part.share_client.has_current_shares(now)
             for part in self.parts.parts
-            if hasattr(part, "sure") or hasattr(part, "share_client")
+            if hasattr(part, "view_is_certain") or hasattr(part, "share_client")
         )
 
     def role(self):
