--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -8,11 +8,13 @@
 
 from concurrent.futures import ProcessPoolExecutor
 from statistics import median
+from typing import NamedTuple
 
 import click
 
+from grebedyke.rate_limits.definitions import MILLIREQUESTS_PER_REQUEST
 from grebedyke.rig import limited
-from grebedyke.rig.limited import LEASE, LIMITS, LimitedWorld
+from grebedyke.rig.limited import LEASE, LIMITS, LimitedWorld, Sharing
 from grebedyke.units import TICKS_PER_SECOND
 
 FAULTS = {
@@ -25,51 +27,77 @@
     },
     "all mixed": {},
 }
-WAYS = "shares", "equal", "none"
-
-
-def one(args):
-    seed, way, faults = args
-    found, world = limited.play(seed, way=way, **FAULTS[faults])
-    judge = world.judge
-    over = max(-judge.least_tokens, 0), max(judge.peak_in_flight - LIMITS.concurrency, 0)
-    return world.used_before_faults, world.used_amid_faults, world.used_in_calm, *over
-
-
-def steady(seed, weights):
-    """A fleet without faults whose demand is as told."""
+LOSSES = ("killed", "stopped for three leases", "all nodes restarted")
+
+
+class Outcome(NamedTuple):
+    """What a round came to.
+
+    Attributes:
+        used_before_faults: Of the rate, with moving demand.
+        used_amid_faults: The same, amid faults.
+        used_in_calm: The same after the faults, with fixed demand.
+        excess: Requests over the rate, at the worst moment.
+        excess_in_flight: Requests in flight over the limit, at the worst moment.
+    """
+
+    used_before_faults: float
+    used_amid_faults: float
+    used_in_calm: float
+    excess: float
+    excess_in_flight: int
+
+
+def play(round_):
+    """Plays one round, (seed, way of sharing, faults); returns its `Outcome`."""
+    seed, sharing, faults = round_
+    _, world = limited.play(seed, way=sharing, **FAULTS[faults])
+    return Outcome(
+        used_before_faults=world.used_before_faults,
+        used_amid_faults=world.used_amid_faults,
+        used_in_calm=world.used_in_calm,
+        excess=max(-world.judge.least_tokens, 0),
+        excess_in_flight=max(world.judge.peak_in_flight - LIMITS.concurrency, 0),
+    )
+
+
+def steady_world(seed, demand_weights):
+    """A fleet without faults whose demand is distributed by these weights."""
     world = LimitedWorld(seed, faults=0)
     for host in world.hosts:
         world.later(world.random.randrange(1, TICKS_PER_SECOND), host.start)
-    world.demand_weights, world.demand_is_fixed = weights, True
+    world.demand_weights = demand_weights
+    world.demand_is_fixed = True
     world.later(1, world.work)
     world.run(15 * TICKS_PER_SECOND)
     return world
 
 
-def following(seed):
+def shares_following_demand(seed):
     """Shares a second of two nodes, each quarter of a lease, once demand goes from the one to the other."""
-    world, rows = steady(seed, [1, 0, 0, 0, 0]), []
+    world = steady_world(seed, [1, 0, 0, 0, 0])
     world.demand_weights = [0, 1, 0, 0, 0]
+    rows = []
     for _ in range(16):
         world.run(world.now + LEASE // 4)
-        rows.append(
-            [
-                round(next(iter(h.parts[-1].request_limiter.meters.values())).active_share(h.clock()) / 1000)
-                for h in world.hosts[:2]
-            ]
-        )
+        rows.append([active_rate(host) for host in world.hosts[:2]])
     return rows
 
 
-def lost(seed, how):
-    """Seconds until nine tenths of the limit are used again."""
-    world = steady(seed, [1] * 5)
-    holder = next(h for h in world.hosts if h.parts[-1].election.is_certain_holder(h.clock()))
-    if how == "killed":
+def active_rate(host):
+    """A node's share of the first limit, in requests a second."""
+    meter = next(iter(host.parts[-1].request_limiter.meters.values()))
+    return round(meter.active_share(host.clock()) / MILLIREQUESTS_PER_REQUEST)
+
+
+def use_after_loss(seed, loss):
+    """Seconds until nine tenths of the limit are used again after a loss, and the least that was used."""
+    world = steady_world(seed, [1] * 5)
+    holder = next(host for host in world.hosts if host.parts[-1].election.is_certain_holder(host.clock()))
+    if loss == "killed":
         holder.end()
         world.later(TICKS_PER_SECOND, holder.start)
-    elif how == "stopped for three leases":
+    elif loss == "stopped for three leases":
         holder.stopped = True
         world.later(3 * LEASE, holder.go_on)
     else:
@@ -79,37 +107,49 @@
     start = world.now // TICKS_PER_SECOND
     world.run(world.now + 30 * TICKS_PER_SECOND)
     if world.judge.broken:
-        raise click.ClickException(f"{how}: {world.judge.broken[0]}")
-    used = [world.judge.admitted[start + s] / LIMITS.rate for s in range(1, 29)]
-    back = max((s for s, u in enumerate(used, 1) if u < 0.9), default=0)
-    return back, min(used)
+        raise click.ClickException(f"{loss}: {world.judge.broken[0]}")
+    used = [world.judge.admitted[start + second] / LIMITS.rate for second in range(1, 29)]
+    recovered = max((second for second, fraction in enumerate(used, 1) if fraction < 0.9), default=0)
+    return recovered, min(used)
+
+
+def report_faults(pool, seeds, faults, sharing):
+    """Prints the medians of one kind of faults and one way of sharing."""
+    outcomes = [*pool.map(play, [(seed, sharing, faults) for seed in range(seeds)])]
+    moving = median(outcome.used_before_faults for outcome in outcomes)
+    amid_faults = median(outcome.used_amid_faults for outcome in outcomes)
+    still = median(outcome.used_in_calm for outcome in outcomes)
+    excess = max(outcome.excess for outcome in outcomes)
+    excess_in_flight = max(outcome.excess_in_flight for outcome in outcomes)
+    click.echo(
+        f"{faults}; {sharing}: used {moving:.2f} moving, {amid_faults:.2f} amid faults, "
+        f"{still:.2f} still; over by {excess:.0f} invocations, {excess_in_flight} more under way"
+    )
+
+
+def report_loss(pool, seeds, loss):
+    """Prints how long a limit is used little after one kind of loss."""
+    rows = [*pool.map(use_after_loss, range(seeds), [loss] * seeds)]
+    times = [seconds for seconds, _ in rows]
+    click.echo(
+        f"holder {loss}: under 0.9 of the limit for {median(times):.0f} s (most {max(times)}), "
+        f"leases of 1 s; least {min(least for _, least in rows):.2f}"
+    )
 
 
 @click.command()
 @click.option("--seeds", default=20, show_default=True)
 @click.option("--beside", default=4, show_default=True)
 def main(seeds, beside):
+    """Plays all rounds and prints their figures."""
     with ProcessPoolExecutor(beside) as pool:
         for faults in FAULTS:
-            for way in WAYS:
-                rows = [*pool.map(one, [(seed, way, faults) for seed in range(seeds)])]
-                moved, faulty, used = (median(row[i] for row in rows) for i in range(3))
-                over, more = (max(row[i] for row in rows) for i in (3, 4))
-                click.echo(
-                    f"{faults}; {way}: used {moved:.2f} moving, {faulty:.2f} amid faults, "
-                    f"{used:.2f} still; over by {over:.0f} invocations, {more} more under way"
-                )
-        click.echo(
-            "demand goes from node 0 to node 1; their shares each quarter of a lease: "
-            + " ".join(f"{a}/{b}" for a, b in following(1))
-        )
-        for how in ("killed", "stopped for three leases", "all nodes restarted"):
-            rows = [*pool.map(lost, range(seeds), [how] * seeds)]
-            times = [row[0] for row in rows]
-            click.echo(
-                f"holder {how}: under 0.9 of the limit for {median(times):.0f} s (most {max(times)}), "
-                f"leases of 1 s; least {min(row[1] for row in rows):.2f}"
-            )
+            for sharing in Sharing:
+                report_faults(pool, seeds, faults, sharing)
+        shares = " ".join(f"{first}/{second}" for first, second in shares_following_demand(1))
+        click.echo(f"demand goes from node 0 to node 1; their shares each quarter of a lease: {shares}")
+        for loss in LOSSES:
+            report_loss(pool, seeds, loss)
 
 
 if __name__ == "__main__":
--- a/grebedyke/rate_limits/component.py
+++ b/grebedyke/rate_limits/component.py
@@ -10,6 +10,7 @@
 from grebedyke.rate_limits.holder_election import REGISTER, HolderElection, record_of
 from grebedyke.rate_limits.lease_holder import LeaseHolder
 from grebedyke.rate_limits.messages import PlaceAnswer, PlaceRequest, ShareGrant, ShareRequest
+from grebedyke.rate_limits.node_context import NodeContext
 from grebedyke.rate_limits.request_limiter import RequestLimiter
 from grebedyke.rate_limits.share_client import ShareClient
 from grebedyke.rate_limits.status import limit_status
@@ -31,7 +32,7 @@
     call_paths = (b"/v1/limits",)
 
     def __init__(self, consensus, node_id, process, limits, terms, now):
-        """Begins by the floors; else a process that has just begun would let everything through.
+        """Admits by the floors alone, from the first request on, until shares are granted.
 
         Args:
             consensus: The node's `Consensus`.
@@ -47,29 +48,18 @@
         self._consensus = consensus
         self._process = process
         self._has_started = False
-        # Of all kinds together: numbers tell this process's requests apart.
-        request_numbers = count(1)
+        context = NodeContext(node_id, process, terms, count(1), self._send_message)
         self.request_limiter = RequestLimiter(self.limits, terms, now)
-        self.election = HolderElection(
-            consensus, node_id, process, terms, request_numbers, self._send_message
-        )
-        self.share_client = ShareClient(
-            self.election,
-            self.request_limiter,
-            self.limits,
-            process,
-            terms,
-            request_numbers,
-            self._send_message,
-        )
-        self.lease_holder = LeaseHolder(self.limits, terms, self._send_message)
+        self.election = HolderElection(consensus, context)
+        self.share_client = ShareClient(context, self.election, self.request_limiter, self.limits)
+        self.lease_holder = LeaseHolder(context, self.limits)
         consensus.keys.append(REGISTER)
         consensus.listeners.append(self.value_chosen)
 
     def restore(self, now, stored_records):
         """Starts the component; it keeps no records, what a former process was granted is waited out."""
         self._has_started = True
-        self.election.holder_seen(now)
+        self.election.note_holder_alive(now)
         self.share_client.start(now)
 
     def change_limits(self, now, limits):
@@ -86,6 +76,25 @@
         self.tolerate_undecodable(self._handle, now, sender, message)
         return True
 
+    def value_chosen(self, now, key, value):
+        """Listens to consensus for a new holder."""
+        if key != REGISTER or not value:
+            return
+        self.election.note_holder_alive(now)
+        self.share_client.holder_changed(now)
+        holder = record_of(value)
+        if holder.process != self._process:
+            self.election.lose_place()
+            self.lease_holder.stop()
+        elif not self.lease_holder.tables:
+            self.election.take_place(now)
+            self.lease_holder.start(now)
+            self.log(
+                "holder",
+                term=holder.term,
+                grants_in_ms=self.terms.takeover_wait() // TICKS_PER_MILLISECOND,
+            )
+
     def operator_call(self, now, call, method, path, body):
         """Answers `GET /v1/limits`."""
         if method == b"GET" and path.rstrip(b"/") == self.call_paths[0]:
@@ -150,22 +159,3 @@
             self._consensus.send_chosen_value(now, sender, REGISTER)
         if self.election.is_certain_holder(now) and request.term == term:
             self.lease_holder.receive_request(now, sender, request)
-
-    def value_chosen(self, now, key, value):
-        """Listens to consensus for a new holder."""
-        if key != REGISTER or not value:
-            return
-        self.election.holder_seen(now)
-        self.share_client.holder_changed(now)
-        holder = record_of(value)
-        if holder.process != self._process:
-            self.election.lose_place()
-            self.lease_holder.stop()
-        elif not self.lease_holder.tables:
-            self.election.take_place(now)
-            self.lease_holder.start(now)
-            self.log(
-                "holder",
-                term=holder.term,
-                grants_in_ms=self.terms.takeover_wait() // TICKS_PER_MILLISECOND,
-            )
--- a/grebedyke/rate_limits/holder_election.py
+++ b/grebedyke/rate_limits/holder_election.py
@@ -61,24 +61,15 @@
         confirmed_until: Tick until which a majority has confirmed this node's place.
     """
 
-    def __init__(self, consensus, node_id, process, terms, request_numbers, send):
-        """Begins without a holder.
-
-        Args:
-            consensus: The node's `Consensus`.
-            node_id: This node.
-            process: A number that no other process has.
-            terms: The `LeaseTerms` of the fleet.
-            request_numbers: Iterator of the numbers of this process's requests.
-            send: send(node, message) queues a typed message.
-        """
+    def __init__(self, consensus, context):
+        """Begins without a holder; `consensus` is the node's `Consensus`, `context` its `NodeContext`."""
         self._consensus = consensus
-        self._node_id = node_id
-        self._process = process
-        self._lease = terms.lease
-        self._request_numbers = request_numbers
-        self._send = send
-        self._holder_seen_at = 0
+        self._node_id = context.node_id
+        self._process = context.process
+        self._lease = context.terms.lease
+        self._request_numbers = context.request_numbers
+        self._send = context.send
+        self._holder_alive_at = 0
         self._is_proposing = False
         self._pending = {}
         self.confirmed_until = 0
@@ -111,9 +102,9 @@
 
     # Events.
 
-    def holder_seen(self, now):
-        """Counts the time without a holder anew."""
-        self._holder_seen_at = now
+    def note_holder_alive(self, now):
+        """Starts to count the time without a holder anew."""
+        self._holder_alive_at = now
 
     def lose_place(self):
         """Another process is the holder."""
@@ -135,7 +126,7 @@
         if accepted_term > request.term or request.epoch < consensus.epoch:
             consensus.send_chosen_value(now, sender, REGISTER)
         elif request.is_certain:
-            self._holder_seen_at = now
+            self._holder_alive_at = now
         confirmed = accepted_term <= request.term and request.epoch == consensus.epoch
         self._send(sender, PlaceAnswer(request.number, confirmed, consensus.epoch, consensus.members))
 
@@ -164,19 +155,19 @@
             return
         rank = consensus.members.index(self._node_id)
         patience = self._lease * (2 + rank) if self.holder else self._lease * (rank + 1) // 4
-        if now < self._holder_seen_at + patience:
+        if now < self._holder_alive_at + patience:
             return
         self._is_proposing = True
         known_term = self.term
         own_record = LeaseHolderRecord(known_term + 1, self._node_id, self._process)
 
-        def change(value):
+        def become_holder(value):
             # Where another process has been chosen meanwhile, it stays.
             if term_of(value) == known_term:
                 return own_record._asdict(), True
             return value, False
 
-        consensus.propose(now, REGISTER, change, self._proposal_ended, 2 * self._lease)
+        consensus.propose(now, REGISTER, become_holder, self._proposal_ended, 2 * self._lease)
 
     def renew_if_due(self, now):
         """Asks the voters to confirm this node's place, as the holder, four times a lease."""
@@ -198,4 +189,4 @@
 
     def _proposal_ended(self, now, result):
         self._is_proposing = False
-        self._holder_seen_at = now
+        self._holder_alive_at = now
--- a/grebedyke/rate_limits/lease_holder.py
+++ b/grebedyke/rate_limits/lease_holder.py
@@ -33,16 +33,10 @@
         tables: `AllocationTable` by the limit's wire identifier; empty while another process is the holder.
     """
 
-    def __init__(self, limits, terms, send):
-        """Begins idle.
-
-        Args:
-            limits: The limits in force.
-            terms: The `LeaseTerms` of the fleet.
-            send: send(node, message) queues a typed message.
-        """
-        self._terms = terms
-        self._send = send
+    def __init__(self, context, limits):
+        """Begins idle; `context` is the node's `NodeContext`, `limits` are those in force."""
+        self._terms = context.terms
+        self._send = context.send
         self._started_at = 0
         self._sizes_by_node = {}
         self.tables = {}
--- a/grebedyke/rate_limits/share_client.py
+++ b/grebedyke/rate_limits/share_client.py
@@ -18,24 +18,21 @@
         answered_request_sent_at: Tick at which the request of that answer was sent, None before the first.
     """
 
-    def __init__(self, election, limiter, limits, process, terms, request_numbers, send):
+    def __init__(self, context, election, limiter, limits):
         """Begins without shares.
 
         Args:
+            context: The node's `NodeContext`.
             election: The node's `HolderElection`.
             limiter: The `RequestLimiter` that admits requests by the shares.
             limits: The limits in force.
-            process: A number that no other process has.
-            terms: The `LeaseTerms` of the fleet.
-            request_numbers: Iterator of the numbers of this process's requests.
-            send: send(node, message) queues a typed message.
         """
         self._election = election
         self._limiter = limiter
-        self._process = process
-        self._lease = terms.lease
-        self._request_numbers = request_numbers
-        self._send = send
+        self._process = context.process
+        self._lease = context.terms.lease
+        self._request_numbers = context.request_numbers
+        self._send = context.send
         self._started_at = 0
         self._hurried_at = 0
         self._pending = {}
