--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -21,7 +21,7 @@
 
 import click
 
-from grebedyke.model import FULL, NO_CONNECTION, OK, RESET, TIMEOUT
+from grebedyke.model.outcome import Outcome
 from grebedyke.service.configuration import open_dispatcher, terms
 from grebedyke.standin.model import Worker
 from grebedyke.units import TICKS_PER_SECOND
@@ -231,7 +231,7 @@
         while (decision := dispatcher.decide(self.now)) is not None:
             kind, *rest = decision
             if kind == "forward":
-                n = len(dispatcher.invs[rest[0]].forwards) - 1
+                n = len(dispatcher.requests[rest[0]].attempts) - 1
                 self.later(
                     self.now + WAY,
                     self.come,
@@ -250,7 +250,7 @@
                     "ended",
                     rest[0],
                     n,
-                    TIMEOUT,
+                    Outcome.TIMEOUT,
                     False,
                 )
             elif kind == "probe":
@@ -269,7 +269,9 @@
 
     def probed(self, node, dispatcher, id):
         host = self.hosts.get(id)
-        answer = (OK, *host.report) if host and host.up else (NO_CONNECTION, None, None)
+        answer = (
+            (Outcome.SUCCEEDED, *host.report) if host and host.up else (Outcome.CONNECT_FAILED, None, None)
+        )
         self.tell(node, dispatcher, "probed", id, *answer)
 
     # The executors.
@@ -284,7 +286,9 @@
     def come(self, node, dispatcher, id, n, name, known):
         host = self.hosts.get(name)
         if not host or not host.up:
-            self.later(self.now + WAY, self.tell, node, dispatcher, "ended", id, n, NO_CONNECTION, False)
+            self.later(
+                self.now + WAY, self.tell, node, dispatcher, "ended", id, n, Outcome.CONNECT_FAILED, False
+            )
             return
         work = self.invs[id][0]
         self.sent += 1
@@ -292,7 +296,9 @@
         job = node, dispatcher, id, n
         said = host.worker.take(self.now / TICKS_PER_SECOND, job, "", "op", work)
         if said == "full":
-            self.later(self.now + WAY, self.tell, node, dispatcher, "ended", id, n, FULL, False, 0)
+            self.later(
+                self.now + WAY, self.tell, node, dispatcher, "ended", id, n, Outcome.REJECTED, False, 0
+            )
         elif said == "began":
             self.began(host, job)
 
@@ -309,7 +315,9 @@
         for done in host.worker.finished(self.now / TICKS_PER_SECOND):
             node, dispatcher, id, n = done.id
             self.done += 1
-            self.later(self.now + WAY, self.tell, node, dispatcher, "ended", id, n, OK, True, free)
+            self.later(
+                self.now + WAY, self.tell, node, dispatcher, "ended", id, n, Outcome.SUCCEEDED, True, free
+            )
         for job in host.worker.started(self.now / TICKS_PER_SECOND):
             self.began(host, job.id)
 
@@ -319,7 +327,17 @@
             host.up = False
             held = [*host.worker.running, *host.worker.waiting]
             for node, dispatcher, id, n in (job.id for job in held):
-                self.later(self.now + WAY, self.tell, node, dispatcher, "ended", id, n, RESET, False)
+                self.later(
+                    self.now + WAY,
+                    self.tell,
+                    node,
+                    dispatcher,
+                    "ended",
+                    id,
+                    n,
+                    Outcome.CONNECTION_RESET,
+                    False,
+                )
             self.spread(host, "gone")
             self.later(
                 max(back + self.random.uniform(0, 0.3) * TICKS_PER_SECOND, self.now + 1), self.back, host
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -17,13 +17,13 @@
 
 import orjson
 
-from grebedyke import model
 from grebedyke.consensus import framing
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.load import fleet as plain
 from grebedyke.load import shape
 from grebedyke.maintenance.maintenance import Maintenance
-from grebedyke.model import SeededRandom
+from grebedyke.model.outcome import Outcome
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rate_limits.component import RateLimits
 from grebedyke.rate_limits.definitions import OPEN, RATE, Limit, name_id
 from grebedyke.rig.limited import Asked
@@ -449,7 +449,7 @@
             if kind == "forward":
                 self.forward(*rest)
             elif kind == "probe":
-                self.later(20, self.d.probed, rest[0], model.OK, 4, 0)
+                self.later(20, self.d.probed, rest[0], Outcome.SUCCEEDED, 4, 0)
             elif kind == "wake":
                 self.later(max(rest[0] - self.now, 1), self.nothing)
 
@@ -457,13 +457,13 @@
         """A wake that is due."""
 
     def forward(self, id, executor, allowed):
-        n, self.out = len(self.d.invs[id].forwards) - 1, self.out + 1
+        n, self.out = len(self.d.requests[id].attempts) - 1, self.out + 1
         self.later(30, self.d.started, id, n)
         if self.run[id]:
             self.later(30 + self.run[id], self.end, id, n)
 
     def end(self, now, id, n):
-        self.d.ended(now, id, n, model.OK, True, None)
+        self.d.ended(now, id, n, Outcome.SUCCEEDED, True, None)
         self.out -= 1
         del self.run[id]
 
--- a/grebedyke/benchlink/adapter.py
+++ b/grebedyke/benchlink/adapter.py
@@ -9,21 +9,21 @@
 
 import orjson
 
-from grebedyke import model
 from grebedyke.errors import ConfigurationError, MalformedBatchError
+from grebedyke.model.outcome import Outcome
 from grebedyke.service.configuration import open_dispatcher, terms
 from grebedyke.units import ticks
 from grebedyke.wire import words
 
 OUTCOMES = {
-    0: model.OK,
-    13: model.FAULT,
-    8: model.FULL,
-    4: model.TIMEOUT,
-    14: model.NO_CONNECTION,
-    10: model.RESET,
-    1: model.CANCELLED,
-    9: model.MOOT,
+    0: Outcome.SUCCEEDED,
+    13: Outcome.FAILED,
+    8: Outcome.REJECTED,
+    4: Outcome.TIMEOUT,
+    14: Outcome.CONNECT_FAILED,
+    10: Outcome.CONNECTION_RESET,
+    1: Outcome.CANCELLED,
+    9: Outcome.NEVER_SENT,
 }
 STATES = {"healthy": "healthy", "cordoned": "draining", "deregistered": "gone"}
 
@@ -46,7 +46,7 @@
             now,
             event["tid"],
             event["attempt"],
-            OUTCOMES.get(event["reason"], model.FAULT),
+            OUTCOMES.get(event["reason"], Outcome.FAILED),
             event.get("closed", False),
             reported(fields, event.get("feedback"))[0],
         )
@@ -64,7 +64,7 @@
         host.probed(
             now,
             event["executor"],
-            OUTCOMES.get(event["reason"], model.FAULT),
+            OUTCOMES.get(event["reason"], Outcome.FAILED),
             *reported(fields, event.get("feedback")),
         )
     elif name == "rosterChange":
--- a/grebedyke/model/in_flight.py
+++ b/grebedyke/model/in_flight.py
@@ -28,5 +28,6 @@
         owed.open, endpoint.flights = owed.open + 1, endpoint.flights + 1
 
     def end(self):
+        """Takes it out of the books of its request and its endpoint."""
         self.done = True
         self.owed.open, self.endpoint.flights = self.owed.open - 1, self.endpoint.flights - 1
--- a/grebedyke/policy/cutoff_search.py
+++ b/grebedyke/policy/cutoff_search.py
@@ -3,7 +3,7 @@
 from collections import deque
 from math import inf, log
 
-from grebedyke.model import Ring
+from grebedyke.model.window_counter import WindowCounter
 from grebedyke.units import TICKS_PER_SECOND
 
 
@@ -14,7 +14,10 @@
         self.chance, self.nodes, self.refit, self.generations = chance, nodes, refit, generations
         self.sizes, self.capped = deque(maxlen=400), deque(maxlen=200)  # finished; at which a job was cut
         self.kept = self.freed = self.trials = 0  # what cancels of running work were seen to do to the slot
-        self.arrivals, self.loose = Ring(TICKS_PER_SECOND, 4), 1.0  # loose: the share that may not be cut
+        self.arrivals, self.loose = (
+            WindowCounter(TICKS_PER_SECOND, 4),
+            1.0,
+        )  # loose: the share that may not be cut
         self.at, self.left, self.why, self.best, self.share = 0, 0, "", None, 0.0
 
     @staticmethod
@@ -56,7 +59,7 @@
             before += high * workers / power
         return total
 
-    def step(self, now, fleet):
+    def step(self, now, endpoints):
         """One generation a call, so that the search never takes a burst of the node's CPU. True: settled."""
         self.at = self.at or now + self.refit
         if now >= self.at:
@@ -72,7 +75,7 @@
         if not self.left:
             return False
         self.left -= 1
-        self.tiers = self.tiers if self.left < self.generations - 1 else fleet.lay(self.share)
+        self.tiers = self.tiers if self.left < self.generations - 1 else endpoints.assign_tiers(self.share)
         ranked = sorted((self.score(self.law, c, self.tiers, *self.model), c) for c in self.pool)
         if not self.left:
             wait, cuts = ranked[0]
@@ -80,7 +83,7 @@
                 # No stable cutoffs: a thinner top tier, down to random spread over all workers.
                 self.share, self.left = self.share / 2, self.generations
                 return False
-            plain = self.score(self.law, [], fleet.lay(0), *self.model)
+            plain = self.score(self.law, [], endpoints.assign_tiers(0), *self.model)
             # The model is rough: cutting must promise clearly less waiting than leaving jobs alone.
             self.best = cuts if wait < 0.8 * plain else None
             self.why = "%s: cut at %d ms, wait %.1f ms, random %.1f ms" % (
--- a/grebedyke/policy/retry_budget.py
+++ b/grebedyke/policy/retry_budget.py
@@ -2,7 +2,7 @@
 
 from math import inf
 
-from grebedyke.model import Ring
+from grebedyke.model.window_counter import WindowCounter
 from grebedyke.units import TICKS_PER_SECOND
 
 FOREVER = 2**62
@@ -15,7 +15,7 @@
         self.free, self.share, self.window, self.shut = free, share, window, 0
         # Counted also where no rule is set: a reload may bring one, and what went before is in its window.
         span = max((window or 10 * TICKS_PER_SECOND) // 48, 1)
-        self.took, self.again = Ring(span, 64), Ring(span, 64)
+        self.took, self.again = WindowCounter(span, 64), WindowCounter(span, 64)
 
     def left(self, now):
         """How many may go now, and the window's allowance; its edge counts where that allows less."""
--- a/grebedyke/rate_limits/limiter.py
+++ b/grebedyke/rate_limits/limiter.py
@@ -3,7 +3,7 @@
 Times are tenths of a millisecond.
 """
 
-from grebedyke.model import Ring
+from grebedyke.model.window_counter import WindowCounter
 from grebedyke.rate_limits.definitions import OPEN, THOUSANDTHS, pool, whole_bound
 from grebedyke.units import TICKS_PER_SECOND
 
@@ -15,7 +15,7 @@
         self.nodes, self.drift, self.hold, self.begun = nodes, drift, whole_bound(hold, drift), now
         self.share, self.until, self.used, self.denied, self.passed = 0, 0, 0, 0, 0
         self.span = max(lease // 8, 1)
-        self.tries = Ring(self.span, 18)
+        self.tries = WindowCounter(self.span, 18)
         self.retune(limit, now)
 
     def retune(self, limit, now):
@@ -161,7 +161,7 @@
 
     def on(self, inv, further=False):
         """The meters of all limits that are on such an invocation, or on its further forwards."""
-        key = operation, tenant, _ = inv.op.name, inv.tenant, further
+        key = operation, tenant, _ = inv.operation.name, inv.tenant, further
         if key not in self.known:
             if len(self.known) > 4_096:
                 self.known.clear()  # tenants are what clients say
@@ -185,7 +185,7 @@
         self.hungry = self.hungry or bool(short)
         if hard := [meter for meter in short if not meter.limit.soft]:
             return max(meter.back(now) for meter in hard)
-        inv.over = inv.over or bool(short)
+        inv.over_quota = inv.over_quota or bool(short)
         for meter in meters:
             if meter not in short:
                 meter.take(now)
@@ -195,7 +195,7 @@
 
     def further(self, now, inv):
         """Whether a further forward of it may go now; another node's invocation is that node's affair."""
-        if inv.asker is not None:
+        if inv.origin_node is not None:
             return True
         short = [meter for meter in self.on(inv, True) if not meter.room(now)]
         for meter in short:
--- a/grebedyke/rig/counted.py
+++ b/grebedyke/rig/counted.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rig import broken, launch
 from grebedyke.rig.station import Station
 from grebedyke.rig.taps import Demand, Seen, Tap, operation
--- a/grebedyke/rig/hollow.py
+++ b/grebedyke/rig/hollow.py
@@ -16,7 +16,7 @@
 from loguru import logger
 
 from grebedyke.consensus import framing
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rig import broken
 from grebedyke.rig.station import BEAT, Station
 from grebedyke.rig.taps import Demand, Seen, Tap, operation
--- a/grebedyke/rig/limited.py
+++ b/grebedyke/rig/limited.py
@@ -218,8 +218,8 @@
     """As much of an invocation as limits look at."""
 
     def __init__(self, operation, tenant):
-        self.op, self.tenant, self.over = SimpleNamespace(name=operation), tenant, False
-        self.asker = None
+        self.operation, self.tenant, self.over_quota = SimpleNamespace(name=operation), tenant, False
+        self.origin_node = None
 
 
 def play(seed, seconds=30, **shape):
--- a/grebedyke/rig/simulated.py
+++ b/grebedyke/rig/simulated.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 from grebedyke.consensus import framing
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rig.figures import rows_of, yardstick
 from grebedyke.rig.taps import Asked, operation, weighed
 from grebedyke.rig.world import Host, World
--- a/grebedyke/rig/taps.py
+++ b/grebedyke/rig/taps.py
@@ -16,7 +16,7 @@
 
 import msgpack
 
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rate_limits.definitions import OPEN
 from grebedyke.units import TICKS_PER_SECOND
 
--- a/grebedyke/rig/world.py
+++ b/grebedyke/rig/world.py
@@ -12,7 +12,7 @@
 
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.maintenance.maintenance import Maintenance
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rig.spec import Spec
 from grebedyke.units import TICKS_PER_SECOND
 
--- a/grebedyke/service/assembly.py
+++ b/grebedyke/service/assembly.py
@@ -72,11 +72,11 @@
 
 def levels(turn, dispatcher):
     """For the log: executors that the list has healthy, and how many of them are left out for the moment."""
-    listed, now = dispatcher.fleet.listed, turn.clock()
+    listed, now = dispatcher.endpoints.healthy, turn.clock()
     return {
         "listed": len(listed),
-        "out": sum(e.shut > now for e in listed),
-        "held": sum(inv.held for inv in dispatcher.held),
+        "out": sum(e.ejected_until > now for e in listed),
+        "held": sum(request.queued for request in dispatcher.queue),
     }
 
 
@@ -148,7 +148,7 @@
         pool.share(with_another)
         if not with_another:
             peers.again()
-            dispatcher.budget.alone(turn.clock())
+            dispatcher.retry_budget.alone(turn.clock())
 
     handover = Handover(
         loop,
--- a/grebedyke/service/configuration/terms.py
+++ b/grebedyke/service/configuration/terms.py
@@ -2,9 +2,12 @@
 
 from voluptuous import All, Any, In, Invalid, Length, Optional, Required
 
-from grebedyke import model
 from grebedyke.checks import checked, maybe, number, table
 from grebedyke.errors import ConfigurationError
+from grebedyke.model.operation import Operation
+from grebedyke.model.outcome import Effect
+from grebedyke.model.seeded_random import SeededRandom
+from grebedyke.model.settings import Capabilities, PolicyParts, RequestLimits
 from grebedyke.policy.cutoff_search import CutoffSearch
 from grebedyke.policy.dispatcher import Dispatcher
 from grebedyke.policy.endpoint_table import EndpointTable
@@ -13,7 +16,7 @@
 from grebedyke.units import ticks
 
 BUDGET = "extraFloor", "resendRatio", "lookBackMs"
-EFFECTS = {"safe": model.IDEMPOTENT, "keyed": model.DEDUPLICATED, "unsafe": model.NON_IDEMPOTENT}
+EFFECTS = {"safe": Effect.IDEMPOTENT, "keyed": Effect.KEYED, "unsafe": Effect.NON_IDEMPOTENT}
 
 
 def deduplicated(row):
@@ -120,17 +123,17 @@
 def operation(row, i, family, kinds):
     stretch = family["classStretch"][i] if i < len(family["classStretch"]) else row["aimStretch"]
     kind = int(family["classKind"][i]) if i < len(family["classKind"]) else -1
-    return model.Operation(
-        row["name"],
-        EFFECTS[row["idempotency"]],
-        row["group"],
-        ticks(row["windowMs"] or 0),
-        ticks(row["latencyObjectiveMs"]),
-        float(stretch),
-        row["billedValue"],
-        row["overdueBilledValue"],
-        kinds[kind] if 0 <= kind < len(kinds) else None,
-        ticks(row["clientTimeoutMs"]),
+    return Operation(
+        name=row["name"],
+        effect=EFFECTS[row["idempotency"]],
+        idempotency_group=row["group"],
+        idempotency_window=ticks(row["windowMs"] or 0),
+        latency_objective=ticks(row["latencyObjectiveMs"]),
+        objective_stretch=float(stretch),
+        priority_weight=row["billedValue"],
+        late_priority_weight=row["overdueBilledValue"],
+        endpoint_kind=kinds[kind] if 0 <= kind < len(kinds) else None,
+        client_timeout=ticks(row["clientTimeoutMs"]),
     )
 
 
@@ -142,7 +145,7 @@
         for i, row in enumerate(conf["operations"])
     }
     nodes, me = int(conf["balancers"]), int(conf["me"])
-    chance = model.SeededRandom(seed)
+    chance = SeededRandom(seed)
     fleet = EndpointTable(
         conf["zone"],
         me,
@@ -150,7 +153,7 @@
         rules["coldFrom"],
         ticks(rules["rampTimeMs"]),
         rules["fallMultiple"],
-        max(min(op.objective for op in operations.values()) // 10, 10),
+        max(min(op.latency_objective for op in operations.values()) // 10, 10),
         ticks(family["progressMs"]),
         prices["crossZone"],
         1 + nodes // 64 if limits["peerMessages"] else 0,
@@ -159,14 +162,14 @@
     budget = RetryBudget(rules["extraFloor"] or 0, rules["resendRatio"] or 0, ticks(rules["lookBackMs"] or 0))
     return Dispatcher(
         chance,
-        model.Parts(CutoffSearch(chance, nodes), fleet, TenantQuotas(quotas, nodes), budget),
+        PolicyParts(CutoffSearch(chance, nodes), fleet, TenantQuotas(quotas, nodes), budget),
         operations,
         ticks(conf["tickMs"]),
         conf["billedValueBy"] == "work",
-        model.Means(
+        Capabilities(
             limits["mayCancel"], family["tellsStart"], limits["probes"], conf["registryMode"] == "ask"
         ),
-        model.Bounds(
+        RequestLimits(
             int(limits["maxForwards"]),
             ticks(limits["maxRetryAfterMs"]) if limits["retryAfter"] else 0,
             int(limits["maxOpen"]),
--- a/grebedyke/service/desk.py
+++ b/grebedyke/service/desk.py
@@ -4,15 +4,20 @@
 
 from loguru import logger
 
-from grebedyke import model
 from grebedyke.model.in_flight import Flight, Owed
+from grebedyke.model.outcome import Outcome
 from grebedyke.service import log
 from grebedyke.units import TICKS_PER_SECOND
 from grebedyke.wire import reports, words
 from grebedyke.wire.executors import BROKEN, UNSENT
 
 # What the state in a call-back means; one that is not here is news of a job under way.
-ENDS = {"done": model.OK, "failed": model.FAULT, "returned": model.FULL, "lost": model.RESET}
+ENDS = {
+    "done": Outcome.SUCCEEDED,
+    "failed": Outcome.FAILED,
+    "returned": Outcome.REJECTED,
+    "lost": Outcome.CONNECTION_RESET,
+}
 
 
 class Desk:
@@ -99,7 +104,7 @@
             self.dispatcher.progressed(now, owed.id, flight.n)
         elif flight.again and state != "done":
             # It may be told of the earlier forward there: then this one is not known to be over.
-            self.give_up(flight, model.RESET)
+            self.give_up(flight, Outcome.CONNECTION_RESET)
         else:
             self.end(now, flight, ENDS[state], result, reports.free(load))
 
@@ -120,13 +125,13 @@
         # An executor that never took it has no call-backs to make of it.
         flight.untold = how == UNSENT or how != BROKEN and status != 202
         if how == UNSENT:
-            self.end(now, flight, model.NO_CONNECTION)
+            self.end(now, flight, Outcome.CONNECT_FAILED)
         elif how == BROKEN:
-            self.end(now, flight, model.RESET)
+            self.end(now, flight, Outcome.CONNECTION_RESET)
         elif status == 202:
             flight.accepted = True
         else:
-            outcome = model.FULL if unrun and status in (503, 504) else model.FAULT
+            outcome = Outcome.REJECTED if unrun and status in (503, 504) else Outcome.FAILED
             self.end(now, flight, outcome, free=reports.free(reports.figures(load)))
 
     def listed(self, now, whole, rows):
@@ -149,8 +154,8 @@
         """For a process that goes on with this one's work: the executors with their addresses."""
         decides = self.dispatcher
         return {
-            "executors": decides.fleet.books(),
-            "budget": decides.budget.books(),
+            "executors": decides.endpoints.record(),
+            "budget": decides.retry_budget.books(),
             "places": [
                 (e.name, e.address, e.since) for e in self.pool.endpoints.values() if e.listed and e.address
             ],
@@ -160,9 +165,9 @@
         self.pool.listed(
             True, [(name, tuple(place), "healthy", since) for name, place, since in books["places"]]
         )
-        self.dispatcher.fleet.recall(now, books["executors"])
+        self.dispatcher.endpoints.restore(now, books["executors"])
         # A process of before this had no such books: what it has sent is unknown.
-        self.dispatcher.budget.recall(now, *books.get("budget") or ((), (), 0, 0))
+        self.dispatcher.retry_budget.recall(now, *books.get("budget") or ((), (), 0, 0))
         self.dispatcher.listed(now, False, [])
 
     def by_hand(self, now, name, out):
@@ -183,9 +188,9 @@
         if flight.call and not flight.call.over:
             # A call-back may come before its 202; an answer that never ends would keep its line for good.
             self.turn.at(max(now + 1, flight.call.since + self.probe_wait), lambda now: flight.call.drop())
-        if outcome != model.OK:
+        if outcome != Outcome.SUCCEEDED:
             self.gauges.count(log.ENDS[outcome])
-        if outcome == model.OK and owed.client:
+        if outcome == Outcome.SUCCEEDED and owed.client:
             self.reply(now, owed, 200, "succeeded", result)
         self.dispatcher.ended(now, owed.id, flight.n, outcome, owed.client is None, free)
         self.settle(now, owed)
@@ -201,7 +206,7 @@
         """What has not left this machine, its connection still coming up or its bytes still here."""
         if flight.call and not (flight.done or flight.call.over or flight.call.sent()):
             flight.call.drop()
-            self.end(now, flight, model.MOOT)
+            self.end(now, flight, Outcome.NEVER_SENT)
 
     def settle(self, now, owed):
         if owed.client is None:
@@ -252,7 +257,7 @@
                 # send it again at once, beside a forward that its executor does not know to be given up.
                 return self.overslept(now, flight.owed)
             unsent = not (flight.accepted or flight.began or flight.call.over or flight.call.sent())
-            outcome = model.NO_CONNECTION if unsent else model.TIMEOUT
+            outcome = Outcome.CONNECT_FAILED if unsent else Outcome.TIMEOUT
             self.give_up(flight, outcome)
             self.end(now, flight, outcome)  # now: there is no time for another, and an answer is due
 
@@ -261,7 +266,7 @@
         with it.
         """
         if not (flight.done or flight.accepted or flight.began or flight.call.over):
-            outcome = model.RESET if flight.call.sent() else model.NO_CONNECTION
+            outcome = Outcome.CONNECTION_RESET if flight.call.sent() else Outcome.CONNECT_FAILED
             # The 202 may be under way, or the line's end slower than the next forward: told by DELETE as
             # well.
             flight.call.drop()
@@ -302,12 +307,12 @@
         self.turn.at(now + self.probe_wait, self.unheard, flight)
 
     def unmade(self, now, flight):
-        self.end(now, flight, model.MOOT)
+        self.end(now, flight, Outcome.NEVER_SENT)
 
     def cancel(self, now, id, n):
         flight = self.owed[id].flights[n]
         if not flight.done:
-            self.give_up(flight, model.CANCELLED)
+            self.give_up(flight, Outcome.CANCELLED)
 
     def throttle(self, now, id, back):
         headers = f"Retry-After: {back / TICKS_PER_SECOND:g}\r\n" if back > 0 else ""
@@ -333,21 +338,21 @@
         def came(how, status, headers, body):
             text = (body or headers.get(b"x-server-load", b"")).decode("latin-1")
             outcome = (
-                model.NO_CONNECTION
+                Outcome.CONNECT_FAILED
                 if how == UNSENT
-                else model.RESET
+                else Outcome.CONNECTION_RESET
                 if how == BROKEN
-                else model.OK
+                else Outcome.SUCCEEDED
                 if status == 200
-                else model.FULL
+                else Outcome.REJECTED
                 if status == 503
-                else model.FAULT
+                else Outcome.FAILED
             )
             self.turn.put(once, outcome, text)
 
         def silent(now):
             call.drop()
-            once(now, model.TIMEOUT)
+            once(now, Outcome.TIMEOUT)
 
         self.gauges.count("probes")
         call = endpoint.call(b"GET", self.probe_path, (), b"", came)
--- a/grebedyke/service/fleet.py
+++ b/grebedyke/service/fleet.py
@@ -4,7 +4,7 @@
 
 from grebedyke.consensus import framing
 from grebedyke.consensus.consensus import Consensus
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.service.files import Files
 from grebedyke.service.parts import LARGEST_CALL, Parts
 from grebedyke.units import ticks
@@ -74,7 +74,7 @@
         return
     from grebedyke.rate_limits import settings
 
-    node.desk.dispatcher.shares.limits, renew, differs = sharing.gate, node.renew, node.differs
+    node.desk.dispatcher.quotas.limits, renew, differs = sharing.gate, node.renew, node.differs
 
     def renewed(said):
         rest = renew(said)
@@ -108,8 +108,8 @@
         peers.send,
         by_hand,
         busy,
-        lambda: desk.dispatcher.fleet.all,
-        lambda: desk.dispatcher.fleet.banned,
+        lambda: desk.dispatcher.endpoints.by_id,
+        lambda: desk.dispatcher.endpoints.banned,
     )
 
     def heard(now, by, data):
--- a/grebedyke/service/switch.py
+++ b/grebedyke/service/switch.py
@@ -6,9 +6,9 @@
 
 from inspect import signature
 
-from grebedyke.model import MOOT
+from grebedyke.model.outcome import Outcome
 
-PARTS = "cutoffs", "fleet", "shares"
+PARTS = "cutoffs", "endpoints", "quotas"
 
 
 def copy(old, new, *but):
@@ -20,56 +20,72 @@
 
 def switch(now, old, new):
     """`new` was built of the new terms and has heard nothing yet; it is used up."""
-    fleet = old.fleet
-    for inv in old.invs.values():
+    endpoints = old.endpoints
+    for request in old.requests.values():
         # A forward's time ends by the new tick: what was taken by a shorter one would still go again then,
         # beside a forward that its executor does not know to be given up.
-        inv.latest = min(inv.latest, inv.due - 4 * new.tick)
-    moved = any(getattr(fleet, name) != getattr(new.fleet, name) for name in ("split", "nodes", "me"))
-    for name, op in new.operations.items():
+        request.latest_start = min(request.latest_start, request.deadline - 4 * new.tick)
+    moved = any(
+        getattr(endpoints, name) != getattr(new.endpoints, name)
+        for name in ("groups_per_zone", "nodes", "me")
+    )
+    for name, operation in new.operations.items():
         if before := old.operations.get(name):
             # What is open keeps the operation that it was taken with, and that one's rules.
-            op.mean, op.span = before.mean, before.span if before.timeout == op.timeout else 0
+            operation.mean_work, operation.longest_timeout = (
+                before.mean_work,
+                before.longest_timeout if before.client_timeout == operation.client_timeout else 0,
+            )
     for part in PARTS:
         copy(getattr(old, part), getattr(new, part))
     # What came in under an operation that is no more is still dispatched by it; the door takes no more of it.
     new.operations = {**old.operations, **new.operations}
     copy(old, new, "parts")
-    if old.budget.window != new.budget.window:
+    if old.retry_budget.window != new.retry_budget.window:
         # Rings of other spans; what was sent by the old terms is in the new window all the same.
-        new.budget.recall(
-            now, old.budget.took.buckets(), old.budget.again.buckets(), old.budget.took.span, old.budget.shut
+        new.retry_budget.recall(
+            now,
+            old.retry_budget.took.buckets(),
+            old.retry_budget.again.buckets(),
+            old.retry_budget.took.span,
+            old.retry_budget.shut,
         )
-        old.budget = new.budget
-    copy(old.budget, new.budget)
-    old.ops, old.shares.tenants, old.tells = new.ops, new.shares.tenants, new.tells
-    old.shares.levels = {t: x for t, x in old.shares.levels.items() if t in old.shares.quotas}
-    for e in fleet.all.values():
-        e.full = {}  # by operation, as it was before
-    if not old.means.cancels:
+        old.retry_budget = new.retry_budget
+    copy(old.retry_budget, new.retry_budget)
+    old.ops, old.quotas.tenants, old.uses_coordinators = new.ops, new.quotas.tenants, new.uses_coordinators
+    old.quotas.levels = {t: x for t, x in old.quotas.levels.items() if t in old.quotas.quotas}
+    for endpoint in endpoints.by_id.values():
+        endpoint.rejected_until = {}  # by operation, as it was before
+    if not old.capabilities.cancels:
         old.cuts, old.cutoffs.best = [], None
     if moved:
         renumber(now, old)
     old.listed(now, False, [])
     old.alarm = 0
-    if old.means.asks and not old.ask_at:
+    if old.capabilities.polls_list and not old.ask_at:
         old.unlisted(now)
 
 
 def renumber(now, d):
     """Nodes have other numbers or groups: what was lent goes back without blame, what is held asks anew."""
-    held = sorted((inv for inv in d.held if inv.held), key=lambda inv: inv.key)
-    d.held, d.asked, d.fleet.missed = {}, {}, {}
-    for inv in list(d.invs.values()):
-        for f in inv.forwards:
-            f.lender = None  # no word of it to whoever has that number now
-            if inv.asker is not None and not f.done:
-                d.ended(now, inv.id, f.n, MOOT, True)
-        if inv.asker is not None:
-            d.finish(inv)  # its own node answers it
+    held = sorted((request for request in d.queue if request.queued), key=lambda request: request.queue_key)
+    d.queue, d.asked, d.endpoints.missed = {}, {}, {}
+    for request in list(d.requests.values()):
+        for attempt in request.attempts:
+            attempt.granting_node = None  # no word of it to whoever has that number now
+            if request.origin_node is not None and not attempt.ended:
+                d.ended(now, request.id, attempt.index, Outcome.NEVER_SENT, True)
+        if request.origin_node is not None:
+            d.finish(request)  # its own node answers it
     d.leases.clear()
     d.words.clear()
-    for inv in reversed(held):
-        if inv.asker is None:
-            inv.group, inv.lent, inv.asked, inv.rounds, inv.ask_at = None, None, [], 0, 0
-            d.hold(inv)
+    for request in reversed(held):
+        if request.origin_node is None:
+            (
+                request.placement_group,
+                request.reservation,
+                request.probed_endpoints,
+                request.search_rounds,
+                request.next_search_at,
+            ) = None, None, [], 0, 0
+            d.hold(request)
--- a/grebedyke/wire/words.py
+++ b/grebedyke/wire/words.py
@@ -5,7 +5,9 @@
 
 from struct import Struct
 
-from grebedyke.model import FAULT, OUTCOMES
+from grebedyke.model.outcome import Outcome
+
+OUTCOMES = [*Outcome]
 
 VERSION = 1
 HEAD = Struct("<BBI")
@@ -23,8 +25,10 @@
 
 def pack(kind, number, *figures):
     """
-    >>> unpack(pack("end", 7, "ok", 2.5)), unpack(pack("end", 7, "full", None))
-    (('end', 7, 'ok', 2.5), ('end', 7, 'full', None))
+    >>> unpack(pack("end", 7, "ok", 2.5)) == ("end", 7, "ok", 2.5)
+    True
+    >>> unpack(pack("end", 7, "full", None)) == ("end", 7, "full", None)
+    True
     >>> unpack(pack("ask", 2 ** 32 - 1, 5, 80_000, 2.7e12, 0, 400, 1, 0, 0, 0))
     ('ask', 4294967295, 5, 80000, 4294967295, 0, 255, 1, 0, 0, 0)
     """
@@ -53,7 +57,7 @@
     figures = FIGURES[KINDS[kind]].unpack_from(body, HEAD.size)
     if KINDS[kind] == "end":
         outcome, free = figures
-        outcome = OUTCOMES[outcome] if outcome < len(OUTCOMES) else FAULT
+        outcome = OUTCOMES[outcome] if outcome < len(OUTCOMES) else Outcome.FAILED
         figures = outcome, None if free == NO_REPORT else free / 10
     return KINDS[kind], number, *figures
 
@@ -61,7 +65,7 @@
 def deliver(host, now, by, body):
     """Another node's word as a call on this one's dispatcher; what cannot be read is nothing."""
     word = unpack(body)
-    if not (word and host.tells and by != host.fleet.me and 0 <= by < host.fleet.nodes):
+    if not (word and host.uses_coordinators and by != host.endpoints.me and 0 <= by < host.endpoints.nodes):
         return
     kind, number, *figures = word
     if kind == "ask":
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -267,10 +267,10 @@
             name: what
             for name, what in (
                 ("owed", self.desk.owed),
-                ("invocations", d.invs),
-                ("held", [i for i in d.held if i.held]),
+                ("invocations", d.requests),
+                ("held", [i for i in d.queue if i.queued]),
                 ("leases", d.leases),
-                ("out", [e for e in d.fleet.all.values() if e.out or e.used]),
+                ("out", [e for e in d.endpoints.by_id.values() if e.in_flight or e.slots_in_use]),
                 ("flights", [e for e in pool.endpoints.values() if e.flights]),
                 ("busy lines", busy),
                 ("opening", pool.opening),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,15 +1,9 @@
 from types import SimpleNamespace
 
-from grebedyke.model import (
-    DEDUPLICATED,
-    IDEMPOTENT,
-    NON_IDEMPOTENT,
-    Bounds,
-    Means,
-    Operation,
-    Parts,
-    SeededRandom,
-)
+from grebedyke.model.operation import Operation
+from grebedyke.model.outcome import Effect
+from grebedyke.model.seeded_random import SeededRandom
+from grebedyke.model.settings import Capabilities, PolicyParts, RequestLimits
 from grebedyke.policy.cutoff_search import CutoffSearch
 from grebedyke.policy.dispatcher import Dispatcher
 from grebedyke.policy.endpoint_table import EndpointTable
@@ -25,8 +19,20 @@
 HEALTHY = "healthy"
 
 
+def operation(name, effect=Effect.IDEMPOTENT, group="zone", window=0):
+    return Operation(
+        name=name,
+        effect=effect,
+        idempotency_group=group,
+        idempotency_window=window,
+        latency_objective=2_500,
+        objective_stretch=2.0,
+        priority_weight=1.0,
+    )
+
+
 def dispatcher(
-    effect=IDEMPOTENT,
+    effect=Effect.IDEMPOTENT,
     group="zone",
     nodes=1,
     me=0,
@@ -43,14 +49,20 @@
     tenants=None,
     budget=(0, 0, 0),
 ):
-    ops = {"op": Operation("op", effect, group, window, 2_500, 2.0, 1.0)}
+    ops = {"op": operation("op", effect, group, window)}
     chance = SeededRandom(seed)
     fleet = EndpointTable("a", me, nodes, 0.3, 80_000, 3.0, 250, progress, cross, split)
-    parts = Parts(
+    parts = PolicyParts(
         CutoffSearch(chance, nodes), fleet, TenantQuotas(tenants or {}, nodes), RetryBudget(*budget)
     )
     return Dispatcher(
-        chance, parts, ops, 50, True, Means(cancels, starts, probes, asks), Bounds(5, back, 1_000)
+        chance,
+        parts,
+        ops,
+        50,
+        True,
+        Capabilities(cancels, starts, probes, asks),
+        RequestLimits(5, back, 1_000),
     )
 
 
@@ -224,16 +236,14 @@
 
 
 __all__ = [
-    "DEDUPLICATED",
     "HAND_IN",
-    "IDEMPOTENT",
-    "NON_IDEMPOTENT",
     "NOW",
     "Several",
     "dispatcher",
     "floor",
     "join",
     "news",
+    "operation",
     "pull",
     "rows",
     "say",
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -6,22 +6,10 @@
 from types import SimpleNamespace
 
 import orjson
-from helpers import Several, dispatcher, pull, rows
-
-from grebedyke.model import (
-    CANCELLED,
-    DEDUPLICATED,
-    FAULT,
-    FULL,
-    IDEMPOTENT,
-    NO_CONNECTION,
-    NON_IDEMPOTENT,
-    OK,
-    RESET,
-    TIMEOUT,
-    Operation,
-    SeededRandom,
-)
+from helpers import Several, dispatcher, operation, pull, rows
+
+from grebedyke.model.outcome import Effect, Outcome
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.policy.cutoff_search import CutoffSearch
 from grebedyke.policy.tenant_quotas import TenantQuotas
 from grebedyke.wire import words
@@ -29,15 +17,15 @@
 
 def test_again_or_throttled_only_as_the_operation_allows():
     cases = [  # effect, group, outcome, the other executor's zone, what follows at once, what too late
-        (IDEMPOTENT, "zone", TIMEOUT, "b", "forward", "throttle"),
-        (NON_IDEMPOTENT, "all", FULL, "b", "forward", "throttle"),
-        (NON_IDEMPOTENT, "all", NO_CONNECTION, "b", "forward", "throttle"),
-        (NON_IDEMPOTENT, "all", FAULT, "b", "error", "error"),
-        (NON_IDEMPOTENT, "all", TIMEOUT, "b", "error", "error"),
-        (DEDUPLICATED, "zone", TIMEOUT, "a", "forward", "error"),
-        (DEDUPLICATED, "zone", TIMEOUT, "b", "", "error"),  # the first executor may come back in time
-        (DEDUPLICATED, "all", TIMEOUT, "b", "forward", "throttle"),
-        (DEDUPLICATED, "zone", FULL, "b", "forward", "throttle"),
+        (Effect.IDEMPOTENT, "zone", Outcome.TIMEOUT, "b", "forward", "throttle"),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.REJECTED, "b", "forward", "throttle"),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.CONNECT_FAILED, "b", "forward", "throttle"),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.FAILED, "b", "error", "error"),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.TIMEOUT, "b", "error", "error"),
+        (Effect.KEYED, "zone", Outcome.TIMEOUT, "a", "forward", "error"),
+        (Effect.KEYED, "zone", Outcome.TIMEOUT, "b", "", "error"),  # the first executor may come back in time
+        (Effect.KEYED, "all", Outcome.TIMEOUT, "b", "forward", "throttle"),
+        (Effect.KEYED, "zone", Outcome.REJECTED, "b", "forward", "throttle"),
     ]
     for effect, group, outcome, zone, soon, late in cases:
         for wait, wanted in ((100, soon), (40_000, late)):
@@ -52,11 +40,11 @@
 
 
 def test_deduplicated_only_within_its_window():
-    d = dispatcher(DEDUPLICATED, "all", window=600)
+    d = dispatcher(Effect.KEYED, "all", window=600)
     d.listed(10, True, rows(1, 2))
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
     pull(d, 10)
-    d.ended(700, 5, 0, TIMEOUT, False)
+    d.ended(700, 5, 0, Outcome.TIMEOUT, False)
     assert [x[0] for x in pull(d, 700)] != ["forward"]
 
 
@@ -100,29 +88,29 @@
     d.listed(10, True, rows(1))
     d.taken(10, 5, "op", None, 50_000, 30_000, 1)
     pull(d, 10)
-    d.ended(20, 5, 0, FULL, False)
+    d.ended(20, 5, 0, Outcome.REJECTED, False)
     assert pull(d, 20) == [] and pull(d, 10_000) == []
     assert [x[0] for x in pull(d, 10_030)] == ["forward"]
 
 
 def test_an_executor_that_turns_one_operation_away_gets_the_others():
     d = dispatcher()  # guards against a partial fault that takes whole executors out
-    d.operations["other"] = Operation("other", IDEMPOTENT, "zone", 0, 2_500, 2.0, 1.0)
+    d.operations["other"] = operation("other")
     d.listed(10, True, rows(1))
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
     pull(d, 10)
-    d.ended(20, 5, 0, FULL, True)
+    d.ended(20, 5, 0, Outcome.REJECTED, True)
     d.taken(20, 6, "op", None, 50_020, 1_000, 1)
     d.taken(20, 7, "other", None, 50_020, 1_000, 1)
     assert [x[1] for x in pull(d, 20, "forward")] == [7]
     d.started(30, 7, 0)
     # All turned away: it is full indeed.
     for now, op, credit in ((11_000, "op", 3.0), (11_010, "other", 1.0)):
-        d.fleet.all[1].credit = 3.0
+        d.endpoints.by_id[1].credit = 3.0
         d.taken(now, now, op, None, now + 50_000, 1_000, 1)
         pull(d, now)
-        d.ended(now, now, 0, FULL, True)
-        assert d.fleet.all[1].credit == credit
+        d.ended(now, now, 0, Outcome.REJECTED, True)
+        assert d.endpoints.by_id[1].credit == credit
 
 
 def test_waiting_own_work_takes_credit_away():
@@ -156,7 +144,7 @@
     ):
         d = dispatcher()
         d.listed(10, True, rows(1))
-        d.operations["op"].span = 50_000
+        d.operations["op"].longest_timeout = 50_000
         d.taken(10, 5, "op", None, 10 + left, size, 1)
         assert [x[0] for x in pull(d, 10)] == [what], (left, size)
 
@@ -172,13 +160,19 @@
             assert len(pull(d, now, "forward")) == 1
             d.started(now + wait, i, 0)
             d.ended(now + wait + 500, i, 0, "ok", True)
-        e = d.fleet.all[1]
-        assert (e.credit < 1) == under and (e.shut > now + wait) == under
+        e = d.endpoints.by_id[1]
+        assert (e.credit < 1) == under and (e.ejected_until > now + wait) == under
         # A start 3 s late, as at the end of a hang, at little credit was a rest of half a minute.
-        f = SimpleNamespace(sent=now - 30_000, opened=False, guess=0, told=None, load=1)
-        e.shut, e.credit = 0, 0.1
-        d.fleet.began(e, now, f, 30_000)
-        assert 0 < e.shut <= now + 2_500
+        f = SimpleNamespace(
+            sent_at=now - 30_000,
+            opened_connection=False,
+            expected_wait=0,
+            had_free_slot=None,
+            endpoint_load=1,
+        )
+        e.ejected_until, e.credit = 0, 0.1
+        d.endpoints.began(e, now, f, 30_000)
+        assert 0 < e.ejected_until <= now + 2_500
 
 
 def test_opening_a_connection_is_no_wait_at_the_executor():
@@ -191,17 +185,17 @@
             assert len(pull(d, now, "forward")) == 1
             d.started(now + (1_000 if i % 2 else 10), i, 0, opened and i % 2 == 1)
             d.ended(now + 2_000, i, 0, "ok", True)
-            d.fleet.all[1].shut = 0
-        assert (d.fleet.all[1].credit < 1) == under
+            d.endpoints.by_id[1].ejected_until = 0
+        assert (d.endpoints.by_id[1].credit < 1) == under
 
 
 def test_a_reset_between_answers_does_not_write_an_executor_off():
     # guards against a few broken connections that leave a node without executors
     for outcomes, off in (
-        ((RESET,), False),
-        ((RESET, "ok", RESET), False),
-        ((RESET, RESET), True),
-        ((FAULT,), True),
+        ((Outcome.CONNECTION_RESET,), False),
+        ((Outcome.CONNECTION_RESET, "ok", Outcome.CONNECTION_RESET), False),
+        ((Outcome.CONNECTION_RESET, Outcome.CONNECTION_RESET), True),
+        ((Outcome.FAILED,), True),
     ):
         d = dispatcher()
         d.listed(10, True, rows(1))
@@ -210,13 +204,13 @@
             d.taken(now, i, "op", None, now + 49_000, 1_000, 1)
             assert len(pull(d, now, "forward")) == 1
             d.ended(now + 50, i, 0, outcome, True)
-        e = d.fleet.all[1]
-        assert (e.shut > now + 50) == off == (e.credit == 1.0), outcomes
+        e = d.endpoints.by_id[1]
+        assert (e.ejected_until > now + 50) == off == (e.credit == 1.0), outcomes
 
 
 def test_without_start_notes_work_does_not_pass_for_waiting():
     d = dispatcher()  # guards against holding all work back where nothing tells that a job has begun
-    d.means = d.means._replace(starts=False)
+    d.capabilities = d.capabilities._replace(start_notices=False)
     d.listed(10, True, rows(1))
     for i, now in enumerate((10, 1_000)):
         d.taken(now, i, "op", None, 50_000, 1_000, 1)
@@ -227,7 +221,7 @@
     d = dispatcher()  # guards against cutting a whole refit long while cancels free nothing
     d.listed(10, True, rows(1, 2))
     d.cutoffs.best, d.cutoffs.at = [500], 10**9
-    for e in d.fleet.listed:
+    for e in d.endpoints.healthy:
         e.credit = 40.0
     for i in range(40):
         d.taken(10, i, "op", None, 90_000, 1_000, 1)
@@ -240,7 +234,7 @@
 def test_small_work_does_not_pay_for_another_zone():
     for size, crosses in ((400, False), (9_000, True)):  # guards against crossing for less than it costs
         d = dispatcher(cross=0.13)
-        d.operations["op"].mean = 4_000.0
+        d.operations["op"].mean_work = 4_000.0
         d.listed(10, True, rows(1, zone="b"))
         d.taken(10, 5, "op", None, 50_000, size, 1)
         kinds = {x[0] for now in range(10, 20_000, 100) for x in pull(d, now)}
@@ -248,21 +242,24 @@
 
 
 def test_an_executor_that_errors_at_once_draws_no_more_work():
-    d, sent = dispatcher(NON_IDEMPOTENT), 0  # guards against the black hole: errors free its slots first
+    d, sent = (
+        dispatcher(Effect.NON_IDEMPOTENT),
+        0,
+    )  # guards against the black hole: errors free its slots first
     d.listed(10, True, rows(1))
     for i in range(100):
         d.taken(10 + 200 * i, i, "op", None, 90_000, 1_000, 1)
         for _, id, _, _ in pull(d, 10 + 200 * i, "forward"):
             sent += 1
             d.started(20 + 200 * i, id, 0)
-            d.ended(30 + 200 * i, id, 0, FAULT, False)
+            d.ended(30 + 200 * i, id, 0, Outcome.FAILED, False)
     assert sent <= 5
 
 
 def test_one_pull_looks_at_few_of_many_executors():
     d, asked = dispatcher(), []  # guards against a node's CPU growing with the fleet
     d.listed(10, True, rows(*range(300)))
-    d.fleet.ready = lambda e, now: asked.append(e) or True
+    d.endpoints.ready = lambda e, now: asked.append(e) or True
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
     assert len(pull(d, 10, "forward")) == 1 and len(asked) < 40
 
@@ -280,14 +277,14 @@
     d = dispatcher()
     d.listed(10, True, rows(1, 2, 3, 4))
     d.cutoffs.best, d.cutoffs.freed, d.cutoffs.at = [500], 9, 10**9
-    d.fleet.lay(0.5)
-    low = {e.id for e in d.fleet.listed if e.tier == 0}
+    d.endpoints.assign_tiers(0.5)
+    low = {e.id for e in d.endpoints.healthy if e.tier == 0}
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
     first = pull(d, 10, "forward")[0][2]
     assert first in low
     d.started(20, 5, 0)
     assert pull(d, 500) == [] and pull(d, 530) == [("cancel", 5, 0)] and pull(d, 600) == []
-    d.ended(610, 5, 0, CANCELLED, False)
+    d.ended(610, 5, 0, Outcome.CANCELLED, False)
     again = pull(d, 610, "forward")
     assert len(again) == 1 and again[0][2] not in low and d.cutoffs.capped
 
@@ -332,9 +329,9 @@
         c.kept, c.loose = kept, 0.0
         for _ in range(300):
             c.arrivals.add(99_000)
-        c.step(10, d.fleet)
+        c.step(10, d.endpoints)
         for now in range(100_010, 100_400):
-            c.step(now, d.fleet)
+            c.step(now, d.endpoints)
             assert all(c.law[0] <= cut[0] <= c.law[1] for cut in c.pool)
         assert (c.best is None) == bool(kept), c.why
 
@@ -362,7 +359,7 @@
     for _ in range(3):
         d.unlisted(0)
     latest = max(d.ask_at for _ in range(9) if d.unlisted(0) is None)
-    assert d.fleet.nodes * 500 < latest <= 8 * 2 * 10_000 + 1
+    assert d.endpoints.nodes * 500 < latest <= 8 * 2 * 10_000 + 1
 
 
 def test_same_decisions_under_any_hash_seed():
@@ -414,12 +411,20 @@
         d, abroad = dispatcher(nodes=200, cross=0.1, probes=True), 0
         d.listed(10, True, rows(1) + rows(2, zone="b"))
         for i in range(40):
-            f = SimpleNamespace(sent=10_000 * i, opened=False, guess=0, told=None, ahead=0)
-            d.fleet.all[1].floor = [0, 0]
-            d.fleet.began(d.fleet.all[1], f.sent + wait, f, wait)
+            f = SimpleNamespace(
+                sent_at=10_000 * i,
+                opened_connection=False,
+                expected_wait=0,
+                had_free_slot=None,
+                reported_wait=0,
+            )
+            d.endpoints.by_id[1].start_floors = [0, 0]
+            d.endpoints.began(d.endpoints.by_id[1], f.sent_at + wait, f, wait)
         for i in range(40):
             now = 500_000 + 10_000 * i
-            d.fleet.all[1].shut = d.fleet.all[1].asked = d.fleet.all[2].asked = 0
+            d.endpoints.by_id[1].ejected_until = d.endpoints.by_id[1].probe_sent_at = d.endpoints.by_id[
+                2
+            ].probe_sent_at = 0
             d.taken(now, i, "op", None, now + 50_000, 1_000, 1)
             abroad += pull(d, now, "probe") == [("probe", 2)]
             d.left(now, i)
@@ -430,7 +435,7 @@
     for late, asked in ((1.0, 1), (0.0, 2)):  # guards against a herd under overload, when all ask twice
         d = dispatcher(nodes=200, probes=True, back=20_000)
         d.listed(10, True, rows(1, 2) + rows(3, 4, zone="b"))
-        d.fleet.late[0], d.fleet.slots = late, {"std": 4}
+        d.endpoints.late[0], d.endpoints.slots = late, {"std": 4}
         d.taken(10, 5, "op", None, 50_000, 1_000, 1)
         for _ in range(asked):
             ((_, id),) = pull(d, 20, "probe")
@@ -443,7 +448,7 @@
     for held, taken in ((5, True), (40, False)):
         d = dispatcher(nodes=200, probes=True)
         d.listed(10, True, rows(1))
-        d.fleet.slots["std"] = 4
+        d.endpoints.slots["std"] = 4
         d.taken(10, 5, "op", None, 50_000, 4_000, 1)
         probes = pull(d, 10, "probe") or pull(d, 10, "probe")
         d.probed(20, probes[0][1], "ok", 0, held)
@@ -460,7 +465,9 @@
         # Noise as well: the most of what such reports add up to was six slots and more.
         for free, held in ((4.0, 0.0), *[(2.0, 1.2), (3.6, 1.2), (4.4, 1.0)] * 9, (1.0, 20.0), (0.0, 20.0)):
             d.probed(20, 1, "ok", free, held)
-        assert d.fleet.slots["std"] < (7 if wide == 1 else 5.5) and d.fleet.all[1].wait > wait
+        assert (
+            d.endpoints.slots["std"] < (7 if wide == 1 else 5.5) and d.endpoints.by_id[1].expected_wait > wait
+        )
 
 
 def test_another_report_is_asked_for_as_far_as_reports_tell_and_the_least_wait_is_taken():
@@ -469,7 +476,7 @@
         for seed in range(20):
             d = dispatcher(nodes=40, probes=True, seed=seed)
             d.listed(10, True, rows(*range(8)))
-            d.fleet.told, d.fleet.slots = at_once, {"std": 4.0}
+            d.endpoints.told, d.endpoints.slots = at_once, {"std": 4.0}
             d.taken(10, 5, "op", None, 50_010, 1_000, 1)
             (first,) = [x[1] for x in pull(d, 10, "probe")]
             d.probed(20, first, "ok", 0.0, 5.0)
@@ -491,16 +498,20 @@
     for gone in (0, 1):
         d = dispatcher(nodes=40, probes=True)
         d.listed(10, True, rows(1))
-        d.fleet.mean, d.fleet.slots = 5_000, {"std": 4.0}
+        d.endpoints.mean, d.endpoints.slots = 5_000, {"std": 4.0}
         for i in range(40):
             for told in (False, True):
                 f = SimpleNamespace(
-                    sent=10_000 * i, opened=False, guess=0, told=told, ahead=3_000 * (not told)
+                    sent_at=10_000 * i,
+                    opened_connection=False,
+                    expected_wait=0,
+                    had_free_slot=told,
+                    reported_wait=3_000 * (not told),
                 )
                 took = 20 if told or gone else 3_000
-                d.fleet.began(d.fleet.all[1], f.sent + took, f, took)
+                d.endpoints.began(d.endpoints.by_id[1], f.sent_at + took, f, took)
         d.probed(500_000, 1, "ok", 0.0, 8.0)
-        waits.append(d.fleet.all[1].wait)
+        waits.append(d.endpoints.by_id[1].expected_wait)
     assert waits[0] > 4_000 and waits[1] == 0
 
 
@@ -509,8 +520,8 @@
     for seed in range(200):
         d = dispatcher(nodes=200, me=0, probes=True, seed=seed)
         d.listed(100_000, True, rows(1, born=99_990) + rows(*range(2, 22)))
-        for e in d.fleet.listed:
-            e.shut, e.heard = (0 if e.id == 1 else 10**9), 99_999
+        for e in d.endpoints.healthy:
+            e.ejected_until, e.last_heard_at = (0 if e.id == 1 else 10**9), 99_999
         d.taken(100_000, 5, "op", None, 150_000, 1_000, 1)
         sent += any(pull(d, now, "probe") for now in range(100_000, 101_000, 100))
     assert sent < 200 * 3 / 20
@@ -521,10 +532,12 @@
     d = dispatcher(nodes=40, probes=True)
     d.listed(10, True, rows(*range(20)))
     for i in range(20):
-        f = SimpleNamespace(sent=10_000 + i, opened=False, guess=0, told=None, ahead=0)
+        f = SimpleNamespace(
+            sent_at=10_000 + i, opened_connection=False, expected_wait=0, had_free_slot=None, reported_wait=0
+        )
         took = 20 if i == 0 else 3_000
-        d.fleet.began(d.fleet.all[i], f.sent + took, f, took)
-    assert d.fleet.bias > 2_000 and d.fleet.late[0] > 0.8
+        d.endpoints.began(d.endpoints.by_id[i], f.sent_at + took, f, took)
+    assert d.endpoints.bias > 2_000 and d.endpoints.late[0] > 0.8
 
 
 def test_what_late_starts_taught_is_forgotten_when_nothing_is_sent_any_more():
@@ -534,10 +547,16 @@
         d, done = dispatcher(nodes=6, probes=True), []
         d.listed(10, True, rows(*range(12)))
         for i in range(12):
-            f = SimpleNamespace(sent=100_000 + i, opened=False, guess=0, told=None, ahead=0)
+            f = SimpleNamespace(
+                sent_at=100_000 + i,
+                opened_connection=False,
+                expected_wait=0,
+                had_free_slot=None,
+                reported_wait=0,
+            )
             took = 20 if i == 0 else 12_000
-            d.fleet.began(d.fleet.all[i], 112_000, f, took)
-            d.fleet.all[i].shut = 0
+            d.endpoints.began(d.endpoints.by_id[i], 112_000, f, took)
+            d.endpoints.by_id[i].ejected_until = 0
         start = 112_000 + int(still * 10_000)
         d.taken(start, 5, "op", None, start + 50_000, 1_000, 1)
         for now in range(start, start + 4_000, 10):
@@ -558,10 +577,10 @@
             d = dispatcher(nodes=nodes, me=me, probes=True, seed=me)
             d.listed(0, True, rows(*range(24)))
             d.listed(120_000, False, rows(*young, born=100_000))
-            for e in d.fleet.listed:
-                e.shut = 0 if e.id in young or old_have_room else 10**9
+            for e in d.endpoints.healthy:
+                e.ejected_until = 0 if e.id in young or old_have_room else 10**9
             for i in range(40):
-                d.fleet.sends.add(80_000 + i * 1_000)
+                d.endpoints.sends.add(80_000 + i * 1_000)
             for i in range(40):  # ten a second and node, from 2 s of the young ones' age on
                 now = 120_000 + i * 1_000
                 d.taken(now, i, "op", None, now + 50_000, 1_000, 1)
@@ -574,7 +593,7 @@
                     d.ended(now, inv, 0, "ok", True)
         mean = nodes * 10 / 60
         for (_, second), n in sent.items():
-            assert n < 3 * d.fleet.warmth(d.fleet.all[100], second * 10_000) * mean
+            assert n < 3 * d.endpoints.warmth(d.endpoints.by_id[100], second * 10_000) * mean
         assert sum(sent.values()) > 4 * 36 * 0.3 * mean
 
 
@@ -590,49 +609,51 @@
     assert len(first) == 4 and sorted(x[2] for x in first) == [1, 1, 2, 2]  # credit is two at first
     for by, id, _ in first:
         s.all[by].started(300, id, 0)
-        s.all[by].ended(320, id, 0, OK, True)
+        s.all[by].ended(320, id, 0, Outcome.SUCCEEDED, True)
     assert len(forwards(s.go(320, 600))) == 2
-    assert all(not e.used or not e.out for d in s.all for e in d.fleet.listed if not e.out)
+    assert all(
+        not e.slots_in_use or not e.in_flight for d in s.all for e in d.endpoints.healthy if not e.in_flight
+    )
 
 
 def test_a_keeper_without_a_word_is_left_for_the_next_and_a_word_lost_costs_no_executor():
     for outage in (range(6), (0,)):  # guards against a dead keeper that takes a zone's executors with it
         s = Several(6, rows(1, 2))
-        keeper = s.all[0].fleet.keeper(("a", 0), 10)
+        keeper = s.all[0].endpoints.keeper(("a", 0), 10)
         s.lost = lambda by, to: keeper in (by, to) and to in (keeper, *outage)
         asker = next(i for i in range(6) if i != keeper)
         s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
         done = s.go(10, 2_400)
         assert len(forwards(done)) == 1 and 1_000 < done[0][0] < 1_200
-        book = s.all[s.all[asker].fleet.keeper(("a", 0), 1_500)].fleet
-        assert sum(e.used for e in book.listed) == 1
-        s.all[asker].ended(2_400, 5, 0, OK, True)
+        book = s.all[s.all[asker].endpoints.keeper(("a", 0), 1_500)].endpoints
+        assert sum(e.slots_in_use for e in book.healthy) == 1
+        s.all[asker].ended(2_400, 5, 0, Outcome.SUCCEEDED, True)
         s.lost = lambda by, to: to == keeper
         s.go(2_410, 3_000)
-        assert sum(e.used for e in book.listed) == 0
+        assert sum(e.slots_in_use for e in book.healthy) == 0
 
 
 def test_what_was_lent_comes_back_when_its_invocation_has_left_or_its_node_is_dead():
     for dead in (False, True):  # guards against books that fill up with work that nobody has
         s = Several(4, rows(1))
-        keeper = s.all[0].fleet.keeper(("a", 0), 10)
+        keeper = s.all[0].endpoints.keeper(("a", 0), 10)
         asker = (keeper + 1) % 4
-        e = s.all[keeper].fleet.all[1]
+        e = s.all[keeper].endpoints.by_id[1]
         s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
         s.go(10, 30)
-        assert e.used == 1
+        assert e.slots_in_use == 1
         s.all[asker].left(30, 5)
         s.lost = lambda by, to: dead and by == asker
         done = s.go(40, 100)
-        assert not forwards(done) and e.used == dead
+        assert not forwards(done) and e.slots_in_use == dead
         s.go(100, 60_000, 1_000)
-        assert e.used == 0 and not s.all[keeper].invs
+        assert e.slots_in_use == 0 and not s.all[keeper].requests
 
 
 def test_the_own_list_goes_before_what_another_node_lends():
     for state, sent in (("draining", 0), ("gone", 0), ("healthy", 1)):  # rule 3 is each node's own
         s = Several(4, rows(1))
-        asker = (s.all[0].fleet.keeper(("a", 0), 10) + 1) % 4
+        asker = (s.all[0].endpoints.keeper(("a", 0), 10) + 1) % 4
         s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
         s.go(10, 20)
         s.all[asker].listed(25, False, rows(1, state=state))
@@ -642,8 +663,8 @@
 def test_a_word_that_is_odd_repeated_or_late_does_no_harm():
     d = dispatcher(nodes=4, me=0, split=1)
     d.listed(10, True, rows(1, 2))
-    d.fleet.keeper = lambda group, now, silent=False: 0
-    rank = d.fleet.listed[0].rank
+    d.endpoints.keeper = lambda group, now, silent=False: 0
+    rank = d.endpoints.healthy[0].rank
     plain = ("ask", 7, rank, 40_000, 1_000, 0, 1, 0, 0, 0, 0)
     for by, word in (
         (1, plain),
@@ -659,8 +680,8 @@
         (3, ("none", 7, True)),
         (3, ("began", 7, 2**32 - 1, True)),
         (3, ("news", 7)),
-        (3, ("end", 7, OK, 25.0)),
-        (3, ("end", 7, FAULT, None)),
+        (3, ("end", 7, Outcome.SUCCEEDED, 25.0)),
+        (3, ("end", 7, Outcome.FAILED, None)),
     ):
         words.deliver(d, 20, by, words.pack(*word))
     told = pull(d, 20, "tell")
@@ -668,13 +689,20 @@
     # Nothing of it is used.
     assert [x[1:] for x in told if x[2] == "end"] == [(3, "end", 7, "moot", None)] * 2
     assert all(
-        inv.due <= 20 + inv.op.timeout and inv.size <= inv.op.timeout and inv.slots <= 64
-        for inv in d.invs.values()
+        inv.deadline <= 20 + inv.operation.client_timeout
+        and inv.estimated_work <= inv.operation.client_timeout
+        and inv.slots <= 64
+        for inv in d.requests.values()
     )
-    for word in (("end", 7, OK, None), ("end", 7, OK, None), ("began", 7, 10, False), ("news", 7)):
+    for word in (
+        ("end", 7, Outcome.SUCCEEDED, None),
+        ("end", 7, Outcome.SUCCEEDED, None),
+        ("began", 7, 10, False),
+        ("news", 7),
+    ):
         words.deliver(d, 60, 1, words.pack(*word))  # repeated, and after the end
-    assert d.fleet.all[told[0][4] == rank and d.fleet.listed[0].id or 2].credit <= 3
-    assert len(d.invs) == 1
+    assert d.endpoints.by_id[told[0][4] == rank and d.endpoints.healthy[0].id or 2].credit <= 3
+    assert len(d.requests) == 1
 
 
 def test_a_young_executor_gets_no_more_than_its_part_from_all_nodes_together():
@@ -690,7 +718,7 @@
                 work[x[2], i // 100] = work.get((x[2], i // 100), 0) + 4_000
         for queue in queues.values():  # each runs two at once
             for f in [f for f in queue if f[2] and f[2] <= now]:
-                s.all[f[0]].ended(now, f[1], 0, OK, True)
+                s.all[f[0]].ended(now, f[1], 0, Outcome.SUCCEEDED, True)
                 queue.remove(f)
             for f in [f for f in queue[:2] if not f[2]]:
                 s.all[f[0]].started(now, f[1], 0)
@@ -715,18 +743,18 @@
     for now, free, credit in ((1_000, 3.9, 4), (2_000, 0.2, 4), (3_000, None, 4)):
         d.taken(now, now, "op", None, now + 50_000, 1_000, 1)
         ((_, id, e, _),) = pull(d, now, "forward")
-        d.ended(now + 500, id, 0, OK, True, free)
-        assert d.fleet.all[e].credit == credit or free is None
+        d.ended(now + 500, id, 0, Outcome.SUCCEEDED, True, free)
+        assert d.endpoints.by_id[e].credit == credit or free is None
     d.listed(4_000, True, rows(1))
     # A full book that reports belie, and one that they bear out.
     for free, credit in ((1.0, 6.0), (0.0, 4.0)):
         for now in range(5_000, 605_000, 10_000):
             d.taken(now, now, "op", None, now + 50_000, 1_000, 1)
             ((_, id, e, _),) = pull(d, now, "forward")
-            d.fleet.all[e].used = 20
-            d.ended(now + 500, id, 0, OK, True, free)
-            d.fleet.all[e].used = 0
-        assert abs(d.fleet.all[e].credit - credit) <= 1 and d.fleet.all[e].credit >= 4
+            d.endpoints.by_id[e].slots_in_use = 20
+            d.ended(now + 500, id, 0, Outcome.SUCCEEDED, True, free)
+            d.endpoints.by_id[e].slots_in_use = 0
+        assert abs(d.endpoints.by_id[e].credit - credit) <= 1 and d.endpoints.by_id[e].credit >= 4
 
 
 def test_work_of_several_slots_waits_for_room_and_not_for_ever():
@@ -734,7 +762,7 @@
     for now, sent in ((20, 0), (9_000, 1)):
         d = dispatcher(split=1)
         d.listed(10, True, rows(1))
-        d.fleet.all[1].credit = 4.0
+        d.endpoints.by_id[1].credit = 4.0
         d.taken(10, 1, "op", None, 50_010, 20_000, 2)
         assert len(pull(d, 10, "forward")) == 1
         d.started(12, 1, 0)
@@ -753,7 +781,7 @@
         for now in range(start, end, 250):
             while running and running[0][0] <= now:
                 _, id, n = running.pop(0)
-                d.ended(now, id, n, OK, True)
+                d.ended(now, id, n, Outcome.SUCCEEDED, True)
             d.taken(now, now, "op", None, now + 40_000, 500, 1)
             for kind, id, *_ in pull(d, now):
                 if kind == "forward":
@@ -767,8 +795,8 @@
     assert min(sent.get(second, 0) for second in range(20, 28)) > sent[19] / 4, sent
     # A process that goes on with the work of another one knows what that one sent.
     heir = dispatcher(nodes=1)
-    heir.fleet.recall(280_000, orjson.loads(orjson.dumps(d.fleet.books())))
-    assert heir.fleet.sends.total(280_000) == d.fleet.sends.total(280_000) > 400
+    heir.endpoints.restore(280_000, orjson.loads(orjson.dumps(d.endpoints.record())))
+    assert heir.endpoints.sends.total(280_000) == d.endpoints.sends.total(280_000) > 400
 
 
 def test_a_late_start_costs_no_credit_for_what_runs_there():
@@ -777,8 +805,8 @@
     for running, credit in ((4, 4.0), (2, 2.4), (0, 2.4)):
         d = dispatcher()
         d.listed(10, True, rows("a"))
-        e = d.fleet.all["a"]
-        e.credit, e.floor[False] = 6.0, 20
+        e = d.endpoints.by_id["a"]
+        e.credit, e.start_floors[False] = 6.0, 20
         for n in range(running + 1):
             d.taken(20, n, "op", None, 40_000, 500, 1)
         assert len(pull(d, 20, "forward")) == running + 1
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -9,7 +9,7 @@
 from loguru import logger
 from test_service import EFFECTS, ROW, TERMS, Executor, free_port, one_answer, told
 
-from grebedyke.model import DEDUPLICATED, FAULT, FULL, IDEMPOTENT, NON_IDEMPOTENT, OK, RESET, TIMEOUT
+from grebedyke.model.outcome import Effect, Outcome
 from grebedyke.policy.retry_budget import FOREVER, RetryBudget
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import assemble
@@ -41,9 +41,13 @@
 
 
 def test_no_further_forward_beyond_it_and_an_answer_at_once():
-    for effect, word in ((IDEMPOTENT, "throttle"), (DEDUPLICATED, "error"), (NON_IDEMPOTENT, "throttle")):
+    for effect, word in (
+        (Effect.IDEMPOTENT, "throttle"),
+        (Effect.KEYED, "error"),
+        (Effect.NON_IDEMPOTENT, "throttle"),
+    ):
         # A deduplicated one that may have run is not throttled where its group is a zone.
-        outcome = FULL if effect == NON_IDEMPOTENT else TIMEOUT
+        outcome = Outcome.REJECTED if effect == Effect.NON_IDEMPOTENT else Outcome.TIMEOUT
         d = dispatcher(effect, budget=(1, 0, WINDOW), back=20_000)
         d.listed(10, True, rows(1, 2, 3, 4))
         for now, id, wanted in ((20, 1, "forward"), (900, 2, word)):
@@ -68,7 +72,7 @@
             ((2, 0.2, WINDOW), (0, 0.1, WINDOW), (5, 0, WINDOW), (1, 1.5, WINDOW))
         )
         self.d = dispatcher(
-            self.random.choice((IDEMPOTENT, NON_IDEMPOTENT)),
+            self.random.choice((Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT)),
             budget=self.terms,
             seed=seed,
             cancels=seed % 2 == 0,
@@ -79,7 +83,7 @@
     def pull(self):
         for kind, *rest in pull(self.d, self.now):
             if kind == "forward":
-                n = len(self.d.invs[rest[0]].forwards) - 1
+                n = len(self.d.requests[rest[0]].attempts) - 1
                 self.out.append((rest[0], n))
                 if n:
                     self.sent.append(self.now)
@@ -95,21 +99,36 @@
             self.d.taken(self.now, self.count, "op", None, self.now + 50_000, self.random.choice((0, 900)), 1)
         elif draw < 0.95 and self.out:
             id, n = self.out.pop(self.random.randrange(len(self.out)))
-            self.d.ended(self.now, id, n, self.random.choice((OK, FULL, FULL, FULL, FAULT, RESET)), False)
+            self.d.ended(
+                self.now,
+                id,
+                n,
+                self.random.choice(
+                    (
+                        Outcome.SUCCEEDED,
+                        Outcome.REJECTED,
+                        Outcome.REJECTED,
+                        Outcome.REJECTED,
+                        Outcome.FAILED,
+                        Outcome.CONNECTION_RESET,
+                    )
+                ),
+                False,
+            )
         elif draw < 0.97:
             # New terms, shorter, longer, none or again some: what went before is in the window.
             self.terms = self.random.choice(((1, 0.1, WINDOW), (3, 0.3, WINDOW), (0, 0, 0)))
             switch(self.now, self.d, dispatcher(budget=self.terms))
         elif draw < 0.98:
             # A new process: what is out ends at the old one, which sends nothing more.
-            books, old = orjson.loads(orjson.dumps(self.d.budget.books())), self.d
+            books, old = orjson.loads(orjson.dumps(self.d.retry_budget.books())), self.d
             for id, n in self.out:
-                old.ended(self.now, id, n, FULL, False)
+                old.ended(self.now, id, n, Outcome.REJECTED, False)
             sent = {id for _, id, *_ in pull(old, self.now, "forward")}
-            assert not self.terms[2] or not any(len(old.invs[id].forwards) > 1 for id in sent)
+            assert not self.terms[2] or not any(len(old.requests[id].attempts) > 1 for id in sent)
             self.d, self.out = dispatcher(budget=self.terms), []
             self.d.listed(self.now, True, rows(*range(6)))
-            self.d.budget.recall(self.now, *books)
+            self.d.retry_budget.recall(self.now, *books)
         self.pull()
 
 
@@ -209,8 +228,8 @@
             write(**rules)
             work.reload()
             before = sum(w.seen.qsize() for w in workers)
-            for e in work.desk.dispatcher.fleet.listed:
-                e.full, e.shut, e.credit = {}, 0, 2.0
+            for e in work.desk.dispatcher.endpoints.healthy:
+                e.rejected_until, e.ejected_until, e.credit = {}, 0, 2.0
             answer = await one_answer(address, "unsafe", f"r-{i}")
             assert answer.startswith(b"HTTP/1.1 503 ") and b"HTTP/1.1" not in answer[8:], answer
             made.append(sum(w.seen.qsize() for w in workers) - before)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -9,23 +9,23 @@
 import pytest
 
 from benchmarks.cold import Round
-from grebedyke.model import FULL
+from grebedyke.model.outcome import Outcome
 from grebedyke.policy.endpoint_table import EndpointTable
 
 SECONDS = 18  # through the replacement, the burst and most restarts of the nodes
 
 
 def without_weights(self, e, now, *more, spare=EndpointTable.spare):
-    heft, self.heft = self.heft, 0
+    weight, self.total_weight = self.total_weight, 0
     try:
         return spare(self, e, now, *more)
     finally:
-        self.heft = heft
+        self.total_weight = weight
 
 
 def with_what_was_turned_away(self, e, now, outcome, op=None, failed=EndpointTable.failed):
     failed(self, e, now, outcome, op)
-    if outcome == FULL:
+    if outcome == Outcome.REJECTED:
         self.sends.add(now)
 
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -5,7 +5,7 @@
 from crossing import TERMS
 from helpers import HAND_IN, NOW, floor, pull, say
 
-from grebedyke.model import TIMEOUT
+from grebedyke.model.outcome import Outcome
 from grebedyke.service import configuration
 from grebedyke.service.assembly import paced, parts_of
 from grebedyke.service.switch import switch
@@ -71,7 +71,7 @@
     ((_, id, first, _),) = pull(d, 100, "forward")
     switch(200, d, configuration.open_dispatcher("1", configuration.terms({**terms, "tickMs": 20})))
     over = 80_100 - 3 * 200
-    d.ended(over, id, 0, TIMEOUT, False)
+    d.ended(over, id, 0, Outcome.TIMEOUT, False)
     assert [x[0] for x in pull(d, over)] == ["throttle"]
 
 
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -39,7 +39,7 @@
         }
         other = executor.row(name="s-2")
         async with Place(executor.row(), other, agent=agent, operations=[keyed]) as place:
-            place.desk.dispatcher.fleet.all["s-2"].shut = 2**62  # what is held waits for it
+            place.desk.dispatcher.endpoints.by_id["s-2"].ejected_until = 2**62  # what is held waits for it
             client = Client(place.address).hand_in()
             await until(lambda: executor.seen and agent.asked, "the forward")
             agent.say(2, executor.row(status="Gone"))
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -147,7 +147,7 @@
         await until(lambda: time.monotonic() > end)
 
     def held(self):
-        return [inv.id for inv in self.dispatcher.held if inv.held]
+        return [inv.id for inv in self.dispatcher.queue if inv.queued]
 
     async def ends(self, id, state="done"):
         """Call-backs for whatever is out of this one."""
@@ -202,7 +202,7 @@
     """For want of credit: the one executor has work."""
     async with Scene() as scene:
         first, clients = scene.clients(1, 0), scene.clients(number)
-        for e in scene.dispatcher.fleet.all.values():
+        for e in scene.dispatcher.endpoints.by_id.values():
             e.credit = 1.0
         scene.hand_in(first)
         await until(lambda: b"r0" in scene.recorder.came, "the work")
@@ -217,7 +217,7 @@
 
 async def waits_for_a_lender(number):
     async with Scene(number, limits={"peerMessages": True}, balancers=2) as scene:
-        asks, fleet = {}, scene.dispatcher.fleet
+        asks, fleet = {}, scene.dispatcher.endpoints
         scene.place.desk.peers.send = lambda to, body: asks.update(
             {words.unpack(body)[1]: words.unpack(body)} if words.unpack(body)[0] == "ask" else {}
         )
@@ -240,7 +240,7 @@
     async def scene_of(number):
         async with Scene(max(number, 2), limits={"connectTimeoutMs": connect}) as scene:
             scene.recorder.answer = lambda id: answer
-            clients, executors = scene.clients(number), scene.dispatcher.fleet.all.values()
+            clients, executors = scene.clients(number), scene.dispatcher.endpoints.by_id.values()
             scene.hand_in(clients)
             owed = scene.owed
             await until(
@@ -248,17 +248,17 @@
                 "the first forwards",
             )
             for e in executors:
-                e.shut = 1 << 60
+                e.ejected_until = 1 << 60
             await until(
-                lambda: len([i for i in scene.dispatcher.held if i.held and i.forwards]) == number,
+                lambda: len([i for i in scene.dispatcher.queue if i.queued and i.attempts]) == number,
                 "that they are held again",
             )
             scene.recorder.answer = lambda id: ACCEPTED
             scene.leave(clients)
             await scene.past()
             for e in executors:
-                e.shut = 0
-                e.full.clear()
+                e.ejected_until = 0
+                e.rejected_until.clear()
             return await scene.finish()
 
     return scene_of
@@ -307,7 +307,7 @@
         async with Scene(2 * number + 2, **CUTS) as scene:
             d, recorder = scene.dispatcher, scene.recorder
             d.cutoffs.best, d.cutoffs.freed, d.cutoffs.at = [500], 9, 1 << 60
-            d.fleet.lay(0.5)
+            d.endpoints.assign_tiers(0.5)
             recorder.may_end.clear()
             clients = scene.clients(number)
             scene.hand_in(clients)
@@ -316,10 +316,10 @@
                 await scene.ends(id, "started")
             await until(lambda: len(recorder.deletes) == number, "the cuts")
             if during == "held":
-                for e in d.fleet.all.values():
-                    e.shut = scene.place.turn.clock() + 4_000
+                for e in d.endpoints.by_id.values():
+                    e.ejected_until = scene.place.turn.clock() + 4_000
                 recorder.may_end.set()
-                await until(lambda: len([i for i in d.held if i.held and i.tier]) == number, "tier one")
+                await until(lambda: len([i for i in d.queue if i.queued and i.tier]) == number, "tier one")
             scene.leave(clients)
             await scene.past()
             recorder.may_end.set()
@@ -335,7 +335,7 @@
         limit = Limit("l", OPEN, 1, 0, 0, None, None, False)
         gate = limiter.Gate([limit], 1, 0.02, 500, 1_000_000, scene.place.turn.clock())
         gate.meters[limit.id()].given(scene.place.turn.clock(), 1, 1 << 60)
-        scene.dispatcher.shares.limits = gate
+        scene.dispatcher.quotas.limits = gate
         first, clients = scene.clients(1, 0), scene.clients(number)
         scene.hand_in(first)
         await until(lambda: b"r0" in scene.recorder.came)
@@ -623,8 +623,8 @@
             client = scene.clients(1)[b"r1"]
             client.socket.sendall(b"".join(Client.head(id, 3) + b"abc" for id in ("r1", "r2", "r3")))
             await until(lambda: b"r1" in scene.recorder.came, "the first forward")
-            for e in scene.dispatcher.fleet.all.values():
-                e.shut = 1 << 60
+            for e in scene.dispatcher.endpoints.by_id.values():
+                e.ejected_until = 1 << 60
             await scene.ends(b"r1")
             await until(lambda: scene.held() == [b"r2"], "that the second is held")
             first = await client.answer()
@@ -633,8 +633,8 @@
                 assert await client.answer() == b""
             client.leave()
             await until(lambda: not scene.owed, "that the client has left")
-            for e in scene.dispatcher.fleet.all.values():
-                e.shut = 0
+            for e in scene.dispatcher.endpoints.by_id.values():
+                e.ejected_until = 0
             await scene.another()
             return first, scene.recorder.came
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -164,12 +164,12 @@
         new, _, second = process([])  # its file names no executor at all
         await serving(new)
         assert b" 200 " in await ask(second, b"GET /v1/readyz HTTP/1.1\r\n\r\n")
-        assert {e.state for e in new.desk.dispatcher.fleet.all.values() if e.id == "s-0"} == {"banned"}
+        assert {e.state for e in new.desk.dispatcher.endpoints.by_id.values() if e.id == "s-0"} == {"banned"}
         # Both are one node: a call at either binds both.
         assert b" 200 " in await ask(second, post % b"s-1") and b" 404 " in await ask(second, post % b"s-9")
         await asyncio.sleep(0.05)
         for work in (old, new):
-            assert [e.id for e in work.desk.dispatcher.fleet.listed] == ["s-2"]
+            assert [e.id for e in work.desk.dispatcher.endpoints.healthy] == ["s-2"]
         assert b" 200 " in await ask(console, (post % b"s-1").replace(b"suspend", b"resume"))
         await asyncio.sleep(0.1)
         before = len(answers)
@@ -186,7 +186,11 @@
         await asyncio.gather(*clients)
         # Who had said nothing yet is not forgotten either.
         assert b" 200 " in await ask(address, b"GET /up HTTP/1.1\r\n\r\n", silent)
-        assert [e.id for e in new.desk.dispatcher.fleet.listed] and not old.desk.owed and not old.door.clients
+        assert (
+            [e.id for e in new.desk.dispatcher.endpoints.healthy]
+            and not old.desk.owed
+            and not old.door.clients
+        )
         new.stop()
         for worker in workers:
             worker.server.close()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,6 +1,6 @@
 from helpers import HAND_IN, NOW, dispatcher, floor, join, pull, rows, say
 
-from grebedyke import model
+from grebedyke.model.outcome import Outcome
 from grebedyke.service.console import PATIENCE, Caller, Console
 
 
@@ -50,8 +50,8 @@
             assert transport.written.startswith(b"HTTP/1.1 %d " % status), call
             assert transport.written.count(b"HTTP/") == 1, call
             assert transport.closing or transport.eof
-    fleet = node.desk.dispatcher.fleet
-    assert [e.id for e in fleet.listed] == ["s-1"] and [*fleet.banned] == ["s-2"]
+    fleet = node.desk.dispatcher.endpoints
+    assert [e.id for e in fleet.healthy] == ["s-1"] and [*fleet.banned] == ["s-2"]
 
 
 def test_callers_that_say_nothing_keep_no_other_from_its_answer():
@@ -81,7 +81,7 @@
         d.taken(now, f"r{now}", "op", None, now + 40_000, 500, 1)
         sent = pull(d, now, "forward")
         for _, id, _, _ in sent:
-            d.ended(now, id, 0, model.OK, True)
+            d.ended(now, id, 0, Outcome.SUCCEEDED, True)
         return {executor for _, _, executor, _ in sent}
 
     assert not d.by_hand(15, "s-3", True) and d.by_hand(20, "s-1", True)
@@ -93,8 +93,8 @@
     d.listed(5_000, True, rows("s-1", "s-2"))
     assert d.by_hand(5_010, "s-1", True) and goes_to(5_020) == {"s-2"}
     # What was asked before the call, and what another node lends after it, are no way round either.
-    e = d.fleet.all["s-1"]
-    assert not d.fleet.ready(e, 5_030)
+    e = d.endpoints.by_id["s-1"]
+    assert not d.endpoints.ready(e, 5_030)
     # One call back undoes both.
     assert d.by_hand(6_000, "s-1", False) and {x for n in range(99) for x in goes_to(90_000 + 50 * n)} == {
         "s-1",
@@ -112,17 +112,22 @@
     for told, born in ((None, 6_000), (0, 6_000), (3_000, 3_000), (10, 6_000)):
         d = dispatcher()
         d.listed(10, True, rows("s-1", "s-2", born=5))
-        e = d.fleet.all["s-1"]
-        e.credit, e.fails, e.shut = 9.0, 3, 80_000
+        e = d.endpoints.by_id["s-1"]
+        e.credit, e.consecutive_failures, e.ejected_until = 9.0, 3, 80_000
         assert d.by_hand(20, "s-1", True)
         if told is not None:
             d.listed(4_000, True, rows("s-1", "s-2", born=told))
         assert d.by_hand(6_000, "s-1", False)
-        assert e.born == born and d.fleet.warmth(e, born) == 0.3 and e.credit == 2.0 and not e.shut
+        assert (
+            e.started_at == born
+            and d.endpoints.warmth(e, born) == 0.3
+            and e.credit == 2.0
+            and not e.ejected_until
+        )
         d.listed(7_000, True, rows("s-1", "s-2", born=told or 0))
-        assert e.born == born
+        assert e.started_at == born
         d.listed(8_000, True, rows("s-1", "s-2", born=5_500))  # at last the list knows
-        assert e.born == 5_500
+        assert e.started_at == 5_500
 
 
 def test_a_forward_that_still_connects_does_not_reach_who_was_taken_out():
@@ -134,7 +139,7 @@
     node.desk.by_hand(NOW, "s-2", True)
     assert not call.over
     node.desk.by_hand(NOW, "s-1", True)
-    assert call.over and node.ends() == [("ended", b"r1", 0, model.MOOT, False)]
+    assert call.over and node.ends() == [("ended", b"r1", 0, Outcome.NEVER_SENT, False)]
     # One that is with the kernel has begun there, and is let alone.
     node = floor()
     node.hand_in()
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -204,7 +204,7 @@
     d = dispatcher()
     rows = entries({"endpoints": [{**DRAINING, "name": "s-2", "status": "Ready", **odd}, DRAINING]})
     d.listed(10, True, [(name, *more) for name, _, *more in rows])
-    assert d.fleet.all["s-1"].state == "draining"
+    assert d.endpoints.by_id["s-1"].state == "draining"
 
 
 class Served(Executor):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -605,7 +605,7 @@
                 say_("b", i % 24 == 9)
                 works["b"].reload()
             elif i == 34:  # faulty: the settings stay in force whole
-                before = works["a"].desk.dispatcher.tells
+                before = works["a"].desk.dispatcher.uses_coordinators
                 files["a"].write_bytes(
                     orjson.dumps(
                         {
@@ -615,12 +615,17 @@
                     )
                 )
                 works["a"].reload()
-                assert works["a"].desk.dispatcher.tells == before and works["a"].desk.dispatcher.tick == 50
+                assert (
+                    works["a"].desk.dispatcher.uses_coordinators == before
+                    and works["a"].desk.dispatcher.tick == 50
+                )
             words += sum(len(work.desk.dispatcher.leases) for work in works.values())
         texts = {id: await answer for id, answer in answers.items()}
-        assert words and not any(work.desk.dispatcher.tells for work in works.values())
-        assert all(not work.desk.owed and not work.desk.dispatcher.invs for work in works.values())
-        assert all(not e.used for work in works.values() for e in work.desk.dispatcher.fleet.listed)
+        assert words and not any(work.desk.dispatcher.uses_coordinators for work in works.values())
+        assert all(not work.desk.owed and not work.desk.dispatcher.requests for work in works.values())
+        assert all(
+            not e.slots_in_use for work in works.values() for e in work.desk.dispatcher.endpoints.healthy
+        )
         assert b" 404 " in await one_answer(addresses["a"], "more", "a-x")
         for work in works.values():
             work.stop()
@@ -674,7 +679,7 @@
 
     def seen(d):
         shown = {}
-        for part in (d, d.fleet, d.cutoffs, d.shares):
+        for part in (d, d.endpoints, d.cutoffs, d.quotas):
             for name, value in vars(part).items():
                 if isinstance(value, (int, float, str, bool)) and name not in (
                     "number",
@@ -685,7 +690,7 @@
                     "alarm",
                 ):
                     shown[type(part).__name__, name] = value
-        return shown, [op.name for op in d.ops], d.shares.tenants, d.shares.quotas, sorted(d.fleet.groups)
+        return shown, [op.name for op in d.ops], d.quotas.tenants, d.quotas.quotas, sorted(d.endpoints.groups)
 
     def fresh(conf):
         d = configuration.open_dispatcher("1", conf)
@@ -711,7 +716,7 @@
             configuration.read_node(environ),
             lambda: configuration.read_node(environ),
         )
-        work.phase, before = node.Phase.SERVING, vars(work.desk.dispatcher.fleet).copy()
+        work.phase, before = node.Phase.SERVING, vars(work.desk.dispatcher.endpoints).copy()
         for said, word in (
             ("{", "not JSON"),
             ("[]", "not an object"),
@@ -727,7 +732,7 @@
                 file.write_bytes(said.encode() if isinstance(said, str) else orjson.dumps(said))
             work.reload()
             assert "reload refused" in lines[-1] and word in lines[-1], lines[-1]
-            assert not work.turn.inbox and vars(work.desk.dispatcher.fleet) == before
+            assert not work.turn.inbox and vars(work.desk.dispatcher.endpoints) == before
         file.write_bytes(orjson.dumps(sound))
         work.reload()
         assert "settings as before" in lines[-1] and not work.turn.inbox
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,7 +1,7 @@
 import pytest
 from helpers import HAND_IN, NOW, floor, join, news, say
 
-from grebedyke import model
+from grebedyke.model.outcome import Outcome
 from grebedyke.wire import http
 from grebedyke.wire.ring import RingBuffer
 
@@ -309,9 +309,9 @@
 
 def test_never_ran_only_while_the_last_byte_is_not_with_the_kernel():
     for stuck, drained, outcome in (
-        (False, False, model.RESET),
-        (True, False, model.NO_CONNECTION),
-        (True, True, model.RESET),
+        (False, False, Outcome.CONNECTION_RESET),
+        (True, False, Outcome.CONNECT_FAILED),
+        (True, True, Outcome.CONNECTION_RESET),
     ):
         node = floor()
         node.hand_in()
@@ -333,7 +333,7 @@
     node.turn.run()
     node.lines[0].connection_lost(None)
     node.loop.go()
-    assert [x[3] for x in node.ends()] == [model.NO_CONNECTION] and not node.lines[0].transport.written
+    assert [x[3] for x in node.ends()] == [Outcome.CONNECT_FAILED] and not node.lines[0].transport.written
 
 
 def test_news_of_an_earlier_forward_does_not_clear_a_later_one_there():
@@ -534,7 +534,7 @@
     node.desk.do(NOW, ("forward", b"r1", "s-1", 9_000))
     assert not node.ends()
     node.loop.go()
-    assert [x[3] for x in node.ends()] == [model.NO_CONNECTION]
+    assert [x[3] for x in node.ends()] == [Outcome.CONNECT_FAILED]
 
 
 def test_idle_lines_are_used_last_first_and_dropped_well_before_they_are_closed_there():
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -11,7 +11,7 @@
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.maintenance import rollout
 from grebedyke.maintenance.maintenance import Maintenance
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rig import broken
 from grebedyke.rig.world import FAULTS, World, play
 
