--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -21,6 +21,16 @@
 
 import click
 
+from grebedyke.model.actions import Forward, Probe, WakeAt
+from grebedyke.model.endpoint_list import EndpointRow
+from grebedyke.model.events import (
+    AttemptEnded,
+    AttemptStarted,
+    EndpointListUnavailable,
+    EndpointsChanged,
+    ProbeAnswered,
+    RequestArrived,
+)
 from grebedyke.model.outcome import Outcome
 from grebedyke.service.configuration import open_dispatcher, terms
 from grebedyke.standin.model import Worker
@@ -177,16 +187,17 @@
     def start(self, node):
         dispatcher = open_dispatcher(f"{self.seed} {node} {self.now}", self.terms(node))
         self.dispatchers[node], self.heard[node] = dispatcher, {}
-        dispatcher.unlisted(self.now)
+        dispatcher.handle(self.now, EndpointListUnavailable())
         self.listed(node, True, [self.row(h) for h in self.hosts.values() if h.up])
 
     def row(self, host, state="healthy"):
-        return host.id, "a", "std", 0, state, host.born if host.born > -inf else 0, host.weight
+        born = host.born if host.born > -inf else 0
+        return EndpointRow(host.id, "a", "std", 0, state, born, host.weight)
 
     def listed(self, node, whole, rows):
         for row in rows:
             self.heard[node][row[0]] = max(row[5], self.heard[node].get(row[0], 0))
-        self.dispatchers[node].listed(self.now, whole, rows)
+        self.dispatchers[node].handle(self.now, EndpointsChanged(whole, rows))
         self.pull(node)
 
     def restart(self, turn):
@@ -216,9 +227,9 @@
         id = next(self.ids)
         self.invs[id] = work, self.dispatchers[node]
         hint = work * TICKS_PER_SECOND * self.random.uniform(0.7, 1.4) if self.hints else 0
-        self.dispatchers[node].taken(
-            self.now, id, ("short", "long")[long], None, self.now + 5 * TICKS_PER_SECOND, hint, 1
-        )
+        deadline = self.now + 5 * TICKS_PER_SECOND
+        event = RequestArrived(id, ("short", "long")[long], None, deadline, hint, 1)
+        self.dispatchers[node].handle(self.now, event)
         self.pull(node)
 
     def pull(self, node):
@@ -228,43 +239,29 @@
 
     def turn(self, node):
         dispatcher = self.dispatchers[node]
-        while (decision := dispatcher.decide(self.now)) is not None:
-            kind, *rest = decision
-            if kind == "forward":
-                n = len(dispatcher.requests[rest[0]].attempts) - 1
-                self.later(
-                    self.now + WAY,
-                    self.come,
-                    node,
-                    dispatcher,
-                    rest[0],
-                    n,
-                    rest[1],
-                    self.heard[node].get(rest[1], 0),
-                )
-                self.later(
-                    self.now + max(rest[2], 1),
-                    self.tell,
-                    node,
-                    dispatcher,
-                    "ended",
-                    rest[0],
-                    n,
-                    Outcome.TIMEOUT,
-                    False,
-                )
-            elif kind == "probe":
-                self.later(self.now + 2 * WAY, self.probed, node, dispatcher, rest[0])
-            elif kind == "wake":
-                self.later(max(rest[0], self.now + 1), self.wake, node, dispatcher)
+        while (action := dispatcher.next_action(self.now)) is not None:
+            if isinstance(action, Forward):
+                self.forward(node, dispatcher, action)
+            elif isinstance(action, Probe):
+                self.later(self.now + 2 * WAY, self.probed, node, dispatcher, action.endpoint_id)
+            elif isinstance(action, WakeAt):
+                self.later(max(action.at, self.now + 1), self.wake, node, dispatcher)
+
+    def forward(self, node, dispatcher, action):
+        id, name = action.request_id, action.endpoint_id
+        index = len(dispatcher.requests[id].attempts) - 1
+        known = self.heard[node].get(name, 0)
+        self.later(self.now + WAY, self.come, node, dispatcher, id, index, name, known)
+        ended = AttemptEnded(id, index, Outcome.TIMEOUT, False)
+        self.later(self.now + max(action.timeout, 1), self.tell, node, dispatcher, ended)
 
     def wake(self, node, dispatcher):
         if dispatcher is self.dispatchers[node]:
             self.pull(node)
 
-    def tell(self, node, dispatcher, call, *args):
+    def tell(self, node, dispatcher, event):
         if dispatcher is self.dispatchers[node]:
-            getattr(dispatcher, call)(self.now, *args)
+            dispatcher.handle(self.now, event)
             self.pull(node)
 
     def probed(self, node, dispatcher, id):
@@ -272,7 +269,7 @@
         answer = (
             (Outcome.SUCCEEDED, *host.report) if host and host.up else (Outcome.CONNECT_FAILED, None, None)
         )
-        self.tell(node, dispatcher, "probed", id, *answer)
+        self.tell(node, dispatcher, ProbeAnswered(id, *answer))
 
     # The executors.
 
@@ -287,7 +284,11 @@
         host = self.hosts.get(name)
         if not host or not host.up:
             self.later(
-                self.now + WAY, self.tell, node, dispatcher, "ended", id, n, Outcome.CONNECT_FAILED, False
+                self.now + WAY,
+                self.tell,
+                node,
+                dispatcher,
+                AttemptEnded(id, n, Outcome.CONNECT_FAILED, False),
             )
             return
         work = self.invs[id][0]
@@ -297,14 +298,14 @@
         said = host.worker.take(self.now / TICKS_PER_SECOND, job, "", "op", work)
         if said == "full":
             self.later(
-                self.now + WAY, self.tell, node, dispatcher, "ended", id, n, Outcome.REJECTED, False, 0
+                self.now + WAY, self.tell, node, dispatcher, AttemptEnded(id, n, Outcome.REJECTED, False, 0)
             )
         elif said == "began":
             self.began(host, job)
 
     def began(self, host, job):
         if self.starts:
-            self.later(self.now + WAY, self.tell, job[0], job[1], "started", job[2], job[3])
+            self.later(self.now + WAY, self.tell, job[0], job[1], AttemptStarted(job[2], job[3]))
         ends = next(j.ends for j in host.worker.running if j.id == job)
         self.later(ends * TICKS_PER_SECOND + 1, self.finish, host, host.born)
 
@@ -316,7 +317,11 @@
             node, dispatcher, id, n = done.id
             self.done += 1
             self.later(
-                self.now + WAY, self.tell, node, dispatcher, "ended", id, n, Outcome.SUCCEEDED, True, free
+                self.now + WAY,
+                self.tell,
+                node,
+                dispatcher,
+                AttemptEnded(id, n, Outcome.SUCCEEDED, True, free),
             )
         for job in host.worker.started(self.now / TICKS_PER_SECOND):
             self.began(host, job.id)
@@ -332,11 +337,7 @@
                     self.tell,
                     node,
                     dispatcher,
-                    "ended",
-                    id,
-                    n,
-                    Outcome.CONNECTION_RESET,
-                    False,
+                    AttemptEnded(id, n, Outcome.CONNECTION_RESET, False),
                 )
             self.spread(host, "gone")
             self.later(
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -22,6 +22,15 @@
 from grebedyke.load import fleet as plain
 from grebedyke.load import shape
 from grebedyke.maintenance.maintenance import Maintenance
+from grebedyke.model.actions import Forward, Probe, WakeAt
+from grebedyke.model.endpoint_list import EndpointRow
+from grebedyke.model.events import (
+    AttemptEnded,
+    AttemptStarted,
+    EndpointsChanged,
+    ProbeAnswered,
+    RequestArrived,
+)
 from grebedyke.model.outcome import Outcome
 from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rate_limits.component import RateLimits
@@ -422,6 +431,11 @@
     return orjson.dumps(discovery.listing())
 
 
+def endpoint_rows(entries):
+    """Entries of discovery as the dispatcher gets them: without the address."""
+    return [EndpointRow(*entry[:1], *entry[2:]) for entry in entries]
+
+
 class Books:
     """A Dispatcher with as much of a host round it as sees to it that work starts and ends."""
 
@@ -435,35 +449,36 @@
             0.0,
         )
         self.operations, self.tenants, self.run, self.out = operations, tenants, {}, 0
-        self.rows = [row[:1] + row[2:] for row in entries(orjson.loads(listing(executors)))]
-        self.tell(self.d.listed, True, self.rows)
+        self.rows = endpoint_rows(entries(orjson.loads(listing(executors))))
+        self.tell(self.d.handle, EndpointsChanged(True, self.rows))
 
     def tell(self, call, *args):
         start = thread_time()
         call(self.now, *args)
-        decisions = []
-        while (decision := self.d.decide(self.now)) is not None:
-            decisions.append(decision)
+        actions = []
+        while (action := self.d.next_action(self.now)) is not None:
+            actions.append(action)
         self.took += thread_time() - start
-        for kind, *rest in decisions:
-            if kind == "forward":
-                self.forward(*rest)
-            elif kind == "probe":
-                self.later(20, self.d.probed, rest[0], Outcome.SUCCEEDED, 4, 0)
-            elif kind == "wake":
-                self.later(max(rest[0] - self.now, 1), self.nothing)
+        for action in actions:
+            if isinstance(action, Forward):
+                self.forward(action.request_id)
+            elif isinstance(action, Probe):
+                answer = ProbeAnswered(action.endpoint_id, Outcome.SUCCEEDED, 4, 0)
+                self.later(20, self.d.handle, answer)
+            elif isinstance(action, WakeAt):
+                self.later(max(action.at - self.now, 1), self.nothing)
 
     def nothing(self, now):
         """A wake that is due."""
 
-    def forward(self, id, executor, allowed):
+    def forward(self, id):
         n, self.out = len(self.d.requests[id].attempts) - 1, self.out + 1
-        self.later(30, self.d.started, id, n)
+        self.later(30, self.d.handle, AttemptStarted(id, n))
         if self.run[id]:
             self.later(30 + self.run[id], self.end, id, n)
 
     def end(self, now, id, n):
-        self.d.ended(now, id, n, Outcome.SUCCEEDED, True, None)
+        self.d.handle(now, AttemptEnded(id, n, Outcome.SUCCEEDED, True))
         self.out -= 1
         del self.run[id]
 
@@ -482,7 +497,8 @@
         id = f"i{self.count}"
         self.run[id] = run
         op, tenant = f"op{self.count % self.operations}", f"t{self.count % self.tenants}"
-        self.tell(self.d.taken, id, op, tenant, self.now + 600 * TICKS_PER_SECOND, 0, 1)
+        event = RequestArrived(id, op, tenant, self.now + 600 * TICKS_PER_SECOND)
+        self.tell(self.d.handle, event)
 
     def fill(self, forwards):
         """So many run and do not end."""
@@ -526,8 +542,8 @@
         )
     books.took = 0.0
     for i in range(20):
-        e = books.rows[i * 7 % len(books.rows)]
-        books.tell(books.d.listed, False, [(*e[:5], 10 * i + 1, e[6])])
+        row_ = books.rows[i * 7 % len(books.rows)]._replace(started_at=10 * i + 1)
+        books.tell(books.d.handle, EndpointsChanged(False, [row_]))
     change = books.took / 20
     # Where credit lets fewer run than were to.
     size = out if against == "forwards" else size
@@ -557,7 +573,7 @@
         rows = entries(orjson.loads(text))
         parsed = thread_time() - start
         books.took = 0.0
-        books.tell(books.d.listed, True, [r[:1] + r[2:] for r in rows])
+        books.tell(books.d.handle, EndpointsChanged(True, endpoint_rows(rows)))
         took.append(parsed + books.took)
     call = http.request(b"GET", b"/discovery/hosts?after=12345&wait_ms=2000", b"10.0.0.1:9000")
     return [
--- a/grebedyke/benchlink/adapter.py
+++ b/grebedyke/benchlink/adapter.py
@@ -10,10 +10,23 @@
 import orjson
 
 from grebedyke.errors import ConfigurationError, MalformedBatchError
+from grebedyke.model import actions
+from grebedyke.model.endpoint_list import EndpointRow
+from grebedyke.model.events import (
+    AttemptEnded,
+    AttemptProgressed,
+    AttemptStarted,
+    ClientLeft,
+    EndpointListUnavailable,
+    EndpointsChanged,
+    PeerMessageReceived,
+    ProbeAnswered,
+    RequestArrived,
+)
 from grebedyke.model.outcome import Outcome
 from grebedyke.service.configuration import open_dispatcher, terms
 from grebedyke.units import ticks
-from grebedyke.wire import words
+from grebedyke.wire import peer_codec
 
 OUTCOMES = {
     0: Outcome.SUCCEEDED,
@@ -25,101 +38,139 @@
     1: Outcome.CANCELLED,
     9: Outcome.NEVER_SENT,
 }
+# The `sort` of a progress event that says that the attempt began to run.
+STARTED = 1
 STATES = {"healthy": "healthy", "cordoned": "draining", "deregistered": "gone"}
 
 
 def reported(fields, row):
     """Free slots and work held, as far as a load report has them."""
-    report = dict(zip(fields, row or ()))
+    report = dict(zip(fields, row or (), strict=False))
     return report.get("x0"), report.get("rif")
 
 
-def feed(host, now, name, event, fields):
-    """One event into one dispatcher; unknown events are nothing to it."""
-    if name == "progress":
-        if event["sort"] == 1:
-            host.started(now, event["tid"], event["attempt"])
-        else:
-            host.progressed(now, event["tid"], event["attempt"])
-    elif name == "attemptEnd":
-        host.ended(
-            now,
-            event["tid"],
-            event["attempt"],
-            OUTCOMES.get(event["reason"], Outcome.FAILED),
-            event.get("closed", False),
-            reported(fields, event.get("feedback"))[0],
-        )
-    elif name == "order":
-        host.taken(
-            now,
-            event["tid"],
-            event["tierClass"],
-            event.get("realm"),
-            ticks(event["dueMs"]),
-            event.get("effortMs", 0.0) * 10,
-            event.get("slots", 1),
-        )
-    elif name == "pong":
-        host.probed(
-            now,
-            event["executor"],
-            OUTCOMES.get(event["reason"], Outcome.FAILED),
-            *reported(fields, event.get("feedback")),
+def _progress(event, fields):
+    kind = AttemptStarted if event["sort"] == STARTED else AttemptProgressed
+    return kind(event["tid"], event["attempt"])
+
+
+def _attempt_end(event, fields):
+    outcome = OUTCOMES.get(event["reason"], Outcome.FAILED)
+    free_slots, _ = reported(fields, event.get("feedback"))
+    return AttemptEnded(event["tid"], event["attempt"], outcome, event.get("closed", False), free_slots)
+
+
+def _order(event, fields):
+    return RequestArrived(
+        request_id=event["tid"],
+        operation=event["tierClass"],
+        tenant=event.get("realm"),
+        deadline=ticks(event["dueMs"]),
+        work_hint=event.get("effortMs", 0.0) * 10,
+        slots=event.get("slots", 1),
+    )
+
+
+def _pong(event, fields):
+    outcome = OUTCOMES.get(event["reason"], Outcome.FAILED)
+    return ProbeAnswered(event["executor"], outcome, *reported(fields, event.get("feedback")))
+
+
+def _roster_change(event, fields):
+    if event["form"] == "broken":
+        return EndpointListUnavailable()
+    rows = [
+        EndpointRow(
+            id=row["executor"],
+            zone=row.get("failureDomain"),
+            kind=row.get("kind"),
+            cell=row.get("stripe"),
+            state=STATES.get(row.get("availability"), "gone"),
+            started_at=ticks(row.get("bornMs", 0)),
+            weight=row.get("capacityHint", 1),
         )
-    elif name == "rosterChange":
-        if event["form"] == "broken":
-            host.unlisted(now)
-        else:
-            host.listed(
-                now,
-                event["form"] != "patch",
-                [
-                    (
-                        row["executor"],
-                        row.get("failureDomain"),
-                        row.get("kind"),
-                        row.get("stripe"),
-                        STATES.get(row.get("availability"), "gone"),
-                        ticks(row.get("bornMs", 0)),
-                        row.get("capacityHint", 1),
-                    )
-                    for row in event.get("hosts") or []
-                ],
-            )
-    elif name == "memo":
-        words.deliver(host, now, event["by"], b64decode(event["contents"]))
-    elif name == "vanished":
-        host.left(now, event["tid"])
-
-
-def action(node, decision):
-    kind = decision[0]
-    if kind == "forward":
-        return {
-            "relay": {
-                "node": node,
-                "tid": decision[1],
-                "executor": decision[2],
-                "allowForMs": decision[3] / 10,
-            }
-        }
-    if kind == "probe":
-        return {"healthCheck": {"node": node, "executor": decision[1]}}
-    if kind == "tell":
-        body = b64encode(words.pack(*decision[2:])).decode()
-        return {"publish": {"node": node, "peer": decision[1], "contents": body}}
-    if kind == "wake":
-        return {"defer": {"node": node, "instantMs": decision[1] / 10, "cookie": 1}}
-    if kind == "cancel":
-        return {"dropAttempt": {"node": node, "tid": decision[1], "attempt": decision[2]}}
-    if kind == "throttle":
-        return {"shed": {"node": node, "tid": decision[1], "backoffMs": decision[2] / 10}}
-    if kind == "error":
-        return {"giveUp": {"node": node, "tid": decision[1]}}
-    if kind == "follow":
-        return {"follow": {"node": node, "enable": True}}
-    return {"trace": {"node": node, "noteText": decision[1]}}
+        for row in event.get("hosts") or []
+    ]
+    return EndpointsChanged(event["form"] != "patch", rows)
+
+
+def _memo(event, fields):
+    message = peer_codec.decode(b64decode(event["contents"]))
+    return PeerMessageReceived(event["by"], message) if message else None
+
+
+def _vanished(event, fields):
+    return ClientLeft(event["tid"])
+
+
+READERS = {
+    "progress": _progress,
+    "attemptEnd": _attempt_end,
+    "order": _order,
+    "pong": _pong,
+    "rosterChange": _roster_change,
+    "memo": _memo,
+    "vanished": _vanished,
+}
+
+
+def feed(dispatcher, now, name, event, fields):
+    """Hands one event of the wire to a dispatcher; unknown events are disregarded."""
+    reader = READERS.get(name)
+    typed = reader(event, fields) if reader else None
+    if typed is not None:
+        dispatcher.handle(now, typed)
+
+
+def _forward(node, action):
+    fields = {"tid": action.request_id, "executor": action.endpoint_id, "allowForMs": action.timeout / 10}
+    return {"relay": {"node": node, **fields}}
+
+
+def _probe(node, action):
+    return {"healthCheck": {"node": node, "executor": action.endpoint_id}}
+
+
+def _send_peer_message(node, action):
+    contents = b64encode(peer_codec.encode(action.message)).decode()
+    return {"publish": {"node": node, "peer": action.node, "contents": contents}}
+
+
+def _wake_at(node, action):
+    return {"defer": {"node": node, "instantMs": action.at / 10, "cookie": 1}}
+
+
+def _cancel(node, action):
+    return {"dropAttempt": {"node": node, "tid": action.request_id, "attempt": action.attempt_index}}
+
+
+def _throttle(node, action):
+    return {"shed": {"node": node, "tid": action.request_id, "backoffMs": action.retry_after / 10}}
+
+
+def _fail(node, action):
+    return {"giveUp": {"node": node, "tid": action.request_id}}
+
+
+def _poll_endpoint_list(node, action):
+    return {"follow": {"node": node, "enable": True}}
+
+
+def _note(node, action):
+    return {"trace": {"node": node, "noteText": action.text}}
+
+
+WRITERS = {
+    actions.Forward: _forward,
+    actions.Probe: _probe,
+    actions.SendPeerMessage: _send_peer_message,
+    actions.WakeAt: _wake_at,
+    actions.Cancel: _cancel,
+    actions.Throttle: _throttle,
+    actions.Fail: _fail,
+    actions.PollEndpointList: _poll_endpoint_list,
+    actions.Note: _note,
+}
 
 
 def handle(hosts, reports, now, events):
@@ -135,7 +186,7 @@
                 conf = terms(event.get("conf") or {})
                 hosts[node] = open_dispatcher(event.get("prng", 0), conf)
                 reports[node] = conf["telemetry"]["fields"]
-                hosts[node].unlisted(now)
+                hosts[node].handle(now, EndpointListUnavailable())
             elif name == "teardown":
                 hosts.pop(node, None)
                 dead.pop(node, None)
@@ -149,8 +200,8 @@
             out.append(dead[node])
         elif host:
             try:
-                while (decision := host.decide(now)) is not None:
-                    out.append(action(node, decision))
+                while (action := host.next_action(now)) is not None:
+                    out.append(WRITERS[type(action)](node, action))
             except Exception as problem:
                 out.append(complain(node, problem))
     return out
--- a/grebedyke/consensus/framing.py
+++ b/grebedyke/consensus/framing.py
@@ -11,7 +11,7 @@
 
 import msgpack
 
-# Words between nodes (wire/words.py) begin with 1; a datagram that begins otherwise is not theirs.
+# Words between nodes (wire/peer_codec.py) begin with 1; a datagram that begins otherwise is not theirs.
 VERSION = 2
 HEAD = Struct("<B4sIIBB")  # version, fleet, checksum of the rest, message, which piece, how many
 LARGEST = 1_200
--- a/grebedyke/model/settings.py
+++ b/grebedyke/model/settings.py
@@ -47,3 +47,23 @@
     max_attempts: int
     max_retry_after: int
     max_open: int
+
+
+class DispatcherSettings(NamedTuple):
+    """Settings in force of a dispatcher.
+
+    Attributes:
+        operations: Operations by name, those of earlier settings included as long as requests may have them.
+        peer_operations: The operations of the present settings, in the order that peer messages use.
+        scheduling_interval: What the host rounds times to, in ticks.
+        weighs_by_work: What is paid for an answer, and so crossing zones, depends on the work done.
+        capabilities: What the deployment offers.
+        limits: Bounds on requests.
+    """
+
+    operations: dict
+    peer_operations: list
+    scheduling_interval: int
+    weighs_by_work: bool
+    capabilities: Capabilities
+    limits: RequestLimits
--- /dev/null
+++ b/grebedyke/policy/attempt_tracking.py
@@ -0,0 +1,118 @@
+"""Rule: what the start, progress and end of an attempt change and teach.
+
+Inputs: outcomes, running times (ticks) and the load reported at the end. A start is the freshest answer that
+an endpoint gives; a success tells its speed and the operation's work; any other end may eject it. A request
+whose attempt ended without an answer waits for another endpoint.
+"""
+
+from grebedyke.model.outcome import NEVER_RAN, Outcome
+from grebedyke.model.peer_messages import SlotProgressed, SlotReleased, SlotStarted
+from grebedyke.policy.giving_up import last_moment
+
+MEAN_WORK_GAIN = 0.05
+MAX_SLOTS = 64.0
+# Without start notices slots are learnt from reports: how fast, and the part of a slot that says "none free".
+SLOTS_GAIN = 0.05
+FREE_BY_CHANCE = 0.3
+
+
+class AttemptTracking:
+    """Follows attempts from their start to their end."""
+
+    def __init__(self, context, queue, cutting):
+        self._context = context
+        self._queue = queue
+        self._cutting = cutting
+
+    def started(self, now, event, start_delay=None):
+        """An attempt began to run (`AttemptStarted`), by a peer's account after `start_delay` ticks."""
+        context = self._context
+        attempt = context.open_attempt(event.request_id, event.attempt_index)
+        if not attempt or attempt.cancelled:
+            return
+        endpoint = attempt.endpoint
+        attempt.opened_connection = event.opened_connection
+        endpoint.last_heard_at = now
+        endpoint.rejected_until[attempt.request.operation] = 0
+        took = now - attempt.sent_at if start_delay is None else min(start_delay, now - attempt.sent_at)
+        if attempt.granting_node is not None:
+            message = SlotStarted(attempt.slot_request_number, took, event.opened_connection)
+            context.send_to_peer(attempt.granting_node, message)
+        context.endpoints.began(endpoint, now, attempt, took)
+        self._cutting.start_clock(attempt, now)
+        self._cutting.observe_start(attempt, now)
+
+    def progressed(self, now, event):
+        """An attempt still runs (`AttemptProgressed`)."""
+        attempt = self._context.open_attempt(event.request_id, event.attempt_index)
+        if attempt:
+            attempt.endpoint.last_heard_at = now
+            attempt.last_report_at = now
+            attempt.started_at = attempt.started_at or now
+            if attempt.granting_node is not None:
+                self._context.send_to_peer(attempt.granting_node, SlotProgressed(attempt.slot_request_number))
+
+    def ended(self, now, event):
+        """An attempt ended (`AttemptEnded`)."""
+        context = self._context
+        attempt = context.open_attempt(event.request_id, event.attempt_index)
+        if not attempt:
+            return
+        context.changes += 1
+        attempt.end(event.outcome in NEVER_RAN)
+        if attempt.granting_node is not None:
+            message = SlotReleased(attempt.slot_request_number, event.outcome, event.free_slots)
+            context.send_to_peer(attempt.granting_node, message)
+        elif event.free_slots is not None and not context.settings.capabilities.start_notices:
+            self._learn_slots(attempt, event.free_slots)
+        if event.outcome == Outcome.SUCCEEDED:
+            self._learn_work(attempt, now)
+        else:
+            self._note_failure(attempt, now, event.outcome)
+        self._go_on(attempt, event.request_closed)
+
+    def _go_on(self, attempt, request_closed):
+        context = self._context
+        request = attempt.request
+        if request_closed:
+            self._queue.finish(request)
+        elif not (request.queued or request.open_attempts or request.finished):
+            if attempt.cut:
+                # It has run in vain and has all the time that is left for it.
+                work = int(request.estimated_work / context.endpoints.pace)
+                request.latest_start = last_moment(request, context.settings) - work
+            self._queue.add(request)
+
+    def _learn_slots(self, attempt, free_slots):
+        """Credit is the most slots seen free at once, and more while some are though all credit is in use."""
+        endpoint = attempt.endpoint
+        known = self._context.endpoints.slots
+        slots = max(known.get(endpoint.kind, 1.0), round(free_slots))
+        if self._queue.waiting and endpoint.slots_in_use + attempt.request.slots >= int(slots):
+            slots += SLOTS_GAIN * (free_slots - FREE_BY_CHANCE)
+        slots = known[endpoint.kind] = min(max(slots, 1.0), MAX_SLOTS)
+        endpoint.credit = float(int(slots))
+
+    def _learn_work(self, attempt, now):
+        context = self._context
+        endpoint = attempt.endpoint
+        request = attempt.request
+        operation = request.operation
+        endpoint.last_heard_at = now
+        endpoint.consecutive_failures = 0
+        endpoint.rejected_until[operation] = 0
+        running_time = max(now - (attempt.started_at or attempt.sent_at), 1)
+        context.endpoints.ran(endpoint, request.estimated_work, running_time, operation.mean_work)
+        # Without hints work is the running time at the fleet's mean speed: else both would drift together.
+        work = running_time * endpoint.speed / (1.0 if request.work_hint else context.endpoints.pace)
+        operation.mean_work += MEAN_WORK_GAIN * (work - operation.mean_work) if operation.mean_work else work
+        context.cutoffs.sizes.append(work)
+
+    def _note_failure(self, attempt, now, outcome):
+        context = self._context
+        endpoint = attempt.endpoint
+        request = attempt.request
+        context.endpoints.failed(endpoint, now, outcome, request.operation)
+        if attempt.cut and outcome == Outcome.CANCELLED:
+            context.cutoffs.capped.append(max(now - attempt.started_at, 1) * endpoint.speed)
+            request.tier = endpoint.tier + 1
--- /dev/null
+++ b/grebedyke/policy/cutting.py
@@ -0,0 +1,91 @@
+"""Rule: when a running attempt is cancelled to be restarted one tier up (TAGS).
+
+Inputs: the cutoffs (ticks at mean speed) that the search found, the endpoint's speed and tier, the retry
+budget and limits. Only idempotent requests of this node are cut. Until cancels are known to free slots only a
+few are made, where own work waits at the endpoint and its start will show it.
+"""
+
+from heapq import heappop, heappush
+
+from grebedyke.model.actions import Cancel
+from grebedyke.model.outcome import Effect
+
+# Cuts whose effect has to be seen before cutting is done at large: not a whole refit's in vain.
+TRIAL_CUTS = 4
+# A slot counts as freed if waiting work began so many scheduling intervals after the least start time.
+FREED_WITHIN_INTERVALS = 2
+
+
+class Cutting:
+    """Plans cuts and learns whether they free slots.
+
+    Attributes:
+        planned: Heap of (time, order, attempt).
+    """
+
+    def __init__(self, context):
+        self._context = context
+        self.planned = []
+
+    def start_clock(self, attempt, started_at):
+        """An attempt runs since `started_at`, or is taken to; plans its cut."""
+        context = self._context
+        attempt.started_at = started_at
+        endpoint = attempt.endpoint
+        cutoffs = context.cutoffs.best
+        # A peer's attempt is not this node's to cancel.
+        if not cutoffs or endpoint.tier >= len(cutoffs) or attempt.start_allowance:
+            return
+        if context.settings.capabilities.cancels and attempt.request.operation.effect == Effect.IDEMPOTENT:
+            context.changes += 1
+            cut_at = started_at + int(cutoffs[endpoint.tier] / endpoint.speed)
+            heappush(self.planned, (cut_at, context.changes, attempt))
+
+    def due(self, now):
+        """Yields the Cancel actions that are due."""
+        while self.planned and self.planned[0][0] <= now:
+            attempt = heappop(self.planned)[2]
+            if self._pays(attempt, now):
+                attempt.cut = True
+                attempt.cancelled = True
+                yield Cancel(attempt.request.id, attempt.index)
+
+    def observe_start(self, attempt, now):
+        """Work that waited behind a cut attempt starts right after it where the cancel freed the slot."""
+        endpoint = attempt.endpoint
+        if not endpoint.cut_at or attempt.sent_at >= endpoint.cut_at:
+            return
+        cutoffs = self._context.cutoffs
+        allowance = FREED_WITHIN_INTERVALS * self._context.settings.scheduling_interval
+        if now - endpoint.cut_at <= endpoint.start_floors[attempt.opened_connection] + allowance:
+            cutoffs.freed += 1
+        else:
+            cutoffs.kept += 1
+        endpoint.cut_at = 0
+        if cutoffs.freed + cutoffs.kept == TRIAL_CUTS:
+            cutoffs.at = now  # refit at once
+
+    def _pays(self, attempt, now):
+        context = self._context
+        cutoffs = context.cutoffs
+        request = attempt.request
+        endpoint = attempt.endpoint
+        own_work_waits = any(not other.started_at for other in endpoint.in_flight.values())
+        is_known = cutoffs.freed + cutoffs.kept >= TRIAL_CUTS
+        is_trial = cutoffs.trials < TRIAL_CUTS and own_work_waits and not endpoint.cut_at
+        # Cut only what may go again: a cut job that has to be given up has run for nothing.
+        if not self._is_retry_affordable(request, now):
+            return False
+        if attempt.ended or attempt.cancelled or request.finished or not cutoffs.best:
+            return False
+        if len(request.attempts) >= context.settings.limits.max_attempts or not (is_known or is_trial):
+            return False
+        cutoffs.trials += not is_known
+        if own_work_waits:
+            endpoint.cut_at = now
+        return True
+
+    def _is_retry_affordable(self, request, now):
+        left, allowance = self._context.retry_budget.left(now)
+        limits = self._context.quotas.limits
+        return left >= max(1, allowance / 2) and (not limits or limits.further(now, request))
--- a/grebedyke/policy/dispatcher.py
+++ b/grebedyke/policy/dispatcher.py
@@ -1,619 +1,161 @@
-"""Routes events to the decisions and their actions to the host."""
+"""Routes events to the rules, and their actions to the host. Each rule stands in a module of its own."""
 
-from collections import deque
-from heapq import heappop, heappush
-from itertools import islice
 from math import inf
 
-from grebedyke.model.attempt import Attempt
-from grebedyke.model.endpoint_list import EndpointRow
-from grebedyke.model.outcome import NEVER_RAN, Effect, Outcome
-from grebedyke.model.request import Request, Reservation
-from grebedyke.units import TICKS_PER_SECOND
-
-# A keeper that says nothing for so long is taken for dead; what it lent and never hears of is its own again.
-PATIENCE, LEASE = TICKS_PER_SECOND // 10, 4 * TICKS_PER_SECOND
+from grebedyke.model import events, peer_messages
+from grebedyke.model.actions import Note, PollEndpointList, WakeAt
+from grebedyke.model.events import AttemptEnded, AttemptProgressed, AttemptStarted
+from grebedyke.model.outcome import Outcome
+from grebedyke.model.policy_context import PolicyContext
+from grebedyke.policy.admission import Admission
+from grebedyke.policy.attempt_tracking import AttemptTracking
+from grebedyke.policy.cutting import Cutting
+from grebedyke.policy.endpoint_selection import EndpointSelection
+from grebedyke.policy.list_polling import ListPolling
+from grebedyke.policy.placement import Placement
+from grebedyke.policy.probing import Probing
+from grebedyke.policy.request_queue import SOON_INTERVALS, RequestQueue
+from grebedyke.policy.retry_eligibility import RetryEligibility
+from grebedyke.policy.slot_lending import SlotLending
 
 
 class Dispatcher:
-    def __init__(self, chance, parts, operations, tick, by_work, capabilities, request_limits):
-        self.chance, (self.cutoffs, self.endpoints, self.quotas, self.retry_budget) = chance, parts
-        self.operations, self.ops, self.tick, self.by_work = operations, [*operations.values()], tick, by_work
-        self.capabilities, self.request_limits = capabilities, request_limits
-        self.uses_coordinators = self.endpoints.groups_per_zone > 0
-        self.requests, self.queue, self.cuts, self.probed = {}, {}, [], self.endpoints.probed
-        self.alarm, self.flow, self.count, self.seen, self.ask_at, self.ask_fails = 0, None, 0, 0, 0, 0
-        self.words, self.asked, self.leases, self.number = deque(), {}, deque(), int(chance.draw() * 2**31)
-
-    def listed(self, now, whole, rows):
-        self.endpoints.update(now, whole, [EndpointRow(*row) for row in rows])
-        self.ask_fails, self.count = 0, self.count + 1
-
-    def by_hand(self, now, id, out):
-        self.count += 1
-        return self.endpoints.set_banned(now, id, out)
-
-    def unlisted(self, now):
-        """At start or after a failed ask: spread by the number of nodes; widely only after a failure."""
-        if self.capabilities.polls_list:
-            spread = TICKS_PER_SECOND * min(0.05 * self.endpoints.nodes, 2) * 2**self.ask_fails
-            self.ask_fails = min(self.ask_fails + 1, 3)
-            self.ask_at = now + int(spread * self.chance.draw()) + 1
-
-    def taken(self, now, id, operation, tenant, due, hint, slots, asker=None):
-        operation, endpoints = self.operations[operation], self.endpoints
-        size = hint or operation.mean_work or endpoints.quick
-        over = not self.uses_coordinators and self.quotas.over(now, tenant)  # else its keeper tells
-        request = self.requests[id] = Request(
-            id=id,
-            operation=operation,
-            arrived_at=now,
-            deadline=due,
-            estimated_work=size,
-            work_hint=hint,
-            slots=slots,
-            over_quota=over,
-            tenant=tenant,
-            origin_node=asker,
-        )
-        endpoints.widest = max(endpoints.widest, slots)
-        spare = max(0.0, operation.objective_stretch - 1 / endpoints.pace) * size * 0.7
-        # A client's repeat keeps its first try's client timeout: what is left of it tells when that came.
-        # Of clients in a hurry too: sent while their size fits, they pushed others into lateness (200 nodes).
-        operation.longest_timeout = max(operation.longest_timeout, due - now)
-        request.first_arrived_at = due - operation.longest_timeout
-        request.latest_start = min(
-            request.first_arrived_at + int(operation.latency_objective * 0.6 + spare), due - 4 * self.tick
-        )
-        if asker is None:
-            self.cutoffs.arrivals.add(now)
-            self.retry_budget.took.add(now)
-            endpoints.mean += 0.1 * (size - endpoints.mean) if endpoints.mean else size
-            # Without start notes nothing tells what a cut gives back.
-            fixed = operation.effect != Effect.IDEMPOTENT or not (
-                self.capabilities.cancels and self.capabilities.start_notices
-            )
-            self.cutoffs.loose += 0.05 * (fixed - self.cutoffs.loose)
-            self.hold(request)
-            if self.quotas.limits and (back := self.quotas.limits.take(now, request)):
-                request.latest_start, request.retry_after = (
-                    now,
-                    back,
-                )  # over one of the whole fleet's: answered at once
-        return request
-
-    def hold(self, request):
-        self.count += 1
-        request.queue_key, request.queued = -self.count, True
-        self.queue[request] = None
-        if self.uses_coordinators and request.origin_node is None:
-            self.number = (self.number + 1) % 2**32
-            request.begin_slot_search(self.number)
-            self.asked[self.number] = request
-
-    def bid(self, now, id, rank, left, size, tenant, slots, tier, operation, again, over):
-        """Another node's invocation is held here like an own one, until an executor is lent to it."""
-        endpoint, known = (
-            self.endpoints.by_rank.get(rank),
-            id in self.requests or len(self.requests) >= self.request_limits.max_open,
-        )
-        if self.uses_coordinators and endpoint and operation < len(self.ops) and not known:
-            tenant = self.quotas.tenants[tenant] if tenant < len(self.quotas.tenants) else None
-            left, slots = (
-                min(left, self.ops[operation].client_timeout),
-                min(max(slots, 1), 64),
-            )  # whatever a node says
-            request = self.taken(
-                now, id, self.ops[operation].name, tenant, now + left, min(size, left), slots, id[0]
-            )
-            request.tier, request.placement_group = min(tier, 1), endpoint.group
-            # Whose traffic is beyond its share shows here, where a zone's work comes together.
-            request.over_quota = (
-                bool(over) if again else self.quotas.over(now, tenant, len(self.endpoints.groups))
-            )
-            self.hold(request)
-
-    def lent(self, now, by, number, rank):
-        """By a keeper's book; what this node's own list says of the executor goes before it (rule 3)."""
-        request, endpoint = self.asked.get(number), self.endpoints.by_rank.get(rank)
-        if (
-            request
-            and endpoint
-            and not request.reservation
-            and endpoint.state == "healthy"
-            and self.allowed(request, endpoint, now)
-        ):
-            request.reservation, self.count = Reservation(endpoint, by), self.count + 1
-        else:
-            self.words.append(("tell", by, "end", number, Outcome.NEVER_SENT, None))
-
-    def refused(self, now, number, over):
-        if (request := self.asked.get(number)) and request.asked_group:
-            request.asked_group, request.next_search_at, request.over_quota, self.count = (
-                None,
-                now,
-                over,
-                self.count + 1,
-            )
-
-    def started(self, now, id, n, opened=False, took=None):
-        if (attempt := self.forward(id, n)) and not attempt.cancelled:
-            endpoint, attempt.opened_connection = attempt.endpoint, opened
-            endpoint.last_heard_at, endpoint.rejected_until[attempt.request.operation] = now, 0
-            took = now - attempt.sent_at if took is None else min(took, now - attempt.sent_at)
-            if attempt.granting_node is not None:
-                self.words.append(
-                    ("tell", attempt.granting_node, "began", attempt.slot_request_number, took, opened)
-                )
-            self.endpoints.began(endpoint, now, attempt, took)
-            self.clock(attempt, now)
-            if endpoint.cut_at and attempt.sent_at < endpoint.cut_at:
-                # Work that waited behind a cut job starts right after it: the cancel gave the slot back.
-                freed, c = (
-                    now - endpoint.cut_at <= endpoint.start_floors[opened] + 2 * self.tick,
-                    self.cutoffs,
-                )
-                c.freed, c.kept, endpoint.cut_at = c.freed + freed, c.kept + (not freed), 0
-                # Four are enough to score by: not a whole refit's cuts in vain.
-                c.at = now if c.freed + c.kept == 4 else c.at
-
-    def clock(self, attempt, began):
-        attempt.started_at, endpoint, best = began, attempt.endpoint, self.cutoffs.best
-        if (
-            best
-            and endpoint.tier < len(best)
-            and attempt.request.operation.effect == Effect.IDEMPOTENT
-            and self.capabilities.cancels
-            and not attempt.start_allowance
-        ):
-            self.count += 1
-            heappush(self.cuts, (began + int(best[endpoint.tier] / endpoint.speed), self.count, attempt))
-
-    def progressed(self, now, id, n):
-        if attempt := self.forward(id, n):
-            attempt.endpoint.last_heard_at, attempt.last_report_at, attempt.started_at = (
-                now,
-                now,
-                attempt.started_at or now,
-            )
-            if attempt.granting_node is not None:
-                self.words.append(("tell", attempt.granting_node, "news", attempt.slot_request_number))
-
-    def forward(self, id, n):
-        request = self.requests.get(id)
-        return (
-            request.attempts[n]
-            if request and n < len(request.attempts) and not request.attempts[n].ended
-            else None
-        )
-
-    def ended(self, now, id, n, outcome, closed, free=None):
-        if not (attempt := self.forward(id, n)):
-            return
-        request, endpoint, endpoints, self.count = (
-            attempt.request,
-            attempt.endpoint,
-            self.endpoints,
-            self.count + 1,
-        )
-        attempt.end(outcome in NEVER_RAN)
-        if free is not None and not self.capabilities.start_notices and attempt.granting_node is None:
-            # Credit is then the most slots seen free at once; more while some are though the book is full.
-            slots = max(endpoints.slots.get(endpoint.kind, 1.0), round(free))
-            slots += (
-                0.05 * (free - 0.3)
-                if self.queue and endpoint.slots_in_use + request.slots >= int(slots)
-                else 0
-            )
-            slots = endpoints.slots[endpoint.kind] = min(max(slots, 1.0), 64.0)
-            endpoint.credit = float(int(slots))
-        if attempt.granting_node is not None:
-            self.words.append(
-                ("tell", attempt.granting_node, "end", attempt.slot_request_number, outcome, free)
-            )
-        if outcome == Outcome.SUCCEEDED:
-            (
-                endpoint.last_heard_at,
-                endpoint.consecutive_failures,
-                endpoint.rejected_until[request.operation],
-            ) = now, 0, 0
-            run = max(now - (attempt.started_at or attempt.sent_at), 1)
-            endpoints.ran(endpoint, request.estimated_work, run, request.operation.mean_work)
-            # Without hints a size is the running time at the fleet's mean speed: else both drift together.
-            size = run * endpoint.speed / (1.0 if request.work_hint else endpoints.pace)
-            request.operation.mean_work += (
-                0.05 * (size - request.operation.mean_work) if request.operation.mean_work else size
-            )
-            self.cutoffs.sizes.append(size)
-        else:
-            endpoints.failed(endpoint, now, outcome, request.operation)
-            if attempt.cut and outcome == Outcome.CANCELLED:
-                self.cutoffs.capped.append(max(now - attempt.started_at, 1) * endpoint.speed)
-                request.tier = endpoint.tier + 1
-        if closed:
-            self.finish(request)
-        elif not (request.queued or request.open_attempts or request.finished):
-            request.latest_start = (
-                request.deadline - 4 * self.tick - int(request.estimated_work / endpoints.pace)
-                if attempt.cut
-                else request.latest_start
-            )
-            self.hold(request)
-
-    def left(self, now, id):
-        if request := self.requests.get(id):
-            self.finish(request)
-
-    def finish(self, request):
-        request.queued, request.finished = False, True
-        self.asked.pop(request.slot_request_number, None)
-        if request.reservation:
-            self.words.append(
-                ("tell", request.reservation[1], "end", request.slot_request_number, Outcome.NEVER_SENT, None)
-            )
-        if not request.open_attempts:
-            self.requests.pop(request.id, None)
-            if self.quotas.limits:
-                self.quotas.limits.give(request)
-
-    def decide(self, now):
-        self.flow = self.flow or self.work(now)
-        decision = next(self.flow, None)
-        self.flow = self.flow if decision else None
-        return decision
-
-    def work(self, now):
-        if 0 < self.ask_at <= now:
-            self.ask_at = 0
-            yield ("follow",)
-        if self.cutoffs.step(now, self.endpoints):
-            self.endpoints.assign_tiers(self.cutoffs.share if self.cutoffs.best else 0.0)
-            yield ("note", self.cutoffs.why)
-        while self.cuts and self.cuts[0][0] <= now:
-            attempt = heappop(self.cuts)[2]
-            if self.pays(attempt, now):
-                attempt.cut = attempt.cancelled = True
-                yield ("cancel", attempt.request.id, attempt.index)
-        while self.leases and self.leases[0][0] <= now:
-            # Lent, and no word comes of it: the word is lost, its node dead, or the executor hangs.
-            attempt = self.leases.popleft()[1]
-            if not attempt.ended and now < attempt.last_report_at + LEASE:
-                self.leases.append((now + LEASE, attempt))
-            elif not attempt.ended:
-                self.ended(now, attempt.request.id, attempt.index, Outcome.TIMEOUT, True)
-        # What changes nothing for those that wait (starts, progress) must not cost a look at all of them.
-        if not self.uses_coordinators or self.count != self.seen or self.alarm <= now:
-            self.seen = self.count
-            yield from self.place(now)
-            # Each wake costs CPU: what waits for a word wakes at its own time, what is kept by what ends.
-            soon = now + 4 * self.tick
-            at = [
-                max(
-                    min(
-                        request.latest_start,
-                        now + TICKS_PER_SECOND // 10 if request.placement_group else request.next_search_at,
-                    ),
-                    now + self.tick,
-                )
-                if self.uses_coordinators
-                else soon
-                for request in self.queue
-                if request.queued
-            ]
-            wake = min(
-                now + TICKS_PER_SECOND,
-                self.ask_at or inf,
-                soon if self.cuts or self.cutoffs.left else inf,
-                *at,
-            )
-            if self.alarm <= now or wake < self.alarm - self.tick:
-                self.alarm = wake
-                yield ("wake", wake)
-        while self.words:
-            yield self.words.popleft()
-
-    def pays(self, attempt, now):
-        """Until cancels are known to free slots, cut only where own waiting work will tell if they do."""
-        c, waits = self.cutoffs, any(not g.started_at for g in attempt.endpoint.in_flight.values())
-        known, over = (
-            c.freed + c.kept >= 4,
-            attempt.ended or attempt.cancelled or attempt.request.finished or not c.best,
-        )
-        trial = c.trials < 4 and waits and not attempt.endpoint.cut_at
-        # Cut only what may go again: a cut job that has to be given up has run for nothing.
-        left, allowance = self.retry_budget.left(now)
-        paid, limits = left >= max(1, allowance / 2), self.quotas.limits
-        paid = paid and (not limits or limits.further(now, attempt.request))
-        if (
-            over
-            or len(attempt.request.attempts) >= self.request_limits.max_attempts
-            or not (known or trial)
-            or not paid
-        ):
-            return False
-        c.trials, attempt.endpoint.cut_at = c.trials + (not known), now if waits else attempt.endpoint.cut_at
-        return True
-
-    def place(self, now):
-        endpoints, free = self.endpoints, {}
-        # Within share first, then the newest: under overload the oldest first makes every answer late.
-        order = sorted(
-            (request for request in self.queue if request.queued),
-            key=lambda request: (request.over_quota, request.queue_key),
-        )
-        self.queue = dict.fromkeys(order)
-        # Own answers tell little of executors at which under a quarter of a forward of this node is out.
-        work = self.cutoffs.arrivals.total(now) * endpoints.mean
-        thin = self.capabilities.probes and work < TICKS_PER_SECOND * len(endpoints.healthy)
-        for request in order:
-            if now >= request.latest_start or request.attempts and not self.again(request, now):
-                if request.origin_node is None:
-                    yield self.give_up(request, now)
-                else:
-                    self.finish(request)  # its own node answers it
-                continue
-            if (
-                self.uses_coordinators
-                and request.origin_node is None
-                and not request.reservation
-                and now >= request.next_search_at
-            ):
-                yield from self.borrow(request, now)
-            if thin:
-                some = [
-                    endpoint
-                    for endpoint in request.probed_endpoints
-                    if not endpoint.probe_sent_at and endpoints.ready(endpoint, now)
-                ]
-            elif (some := free.get(request.placement_group)) is None:
-                # From a random place in the hashed list on, and not all: CPU must not grow with the fleet.
-                some = endpoints.groups.get(request.placement_group, [])
-                at = int(self.chance.draw() * len(some))
-                ring = some[at:] + some[:at]
-                some = free[request.placement_group] = list(
-                    islice((endpoint for endpoint in ring if endpoints.ready(endpoint, now)), 24)
-                )
-            waits = (
-                thin
-                and now < request.next_search_at
-                and any(endpoint.probe_sent_at for endpoint in request.probed_endpoints)
-            )
-            endpoint, lender = request.reservation or (
-                self.choose(request, some, now, thin) if some and not waits else None,
-                None,
-            )
-            # Another report is worth its probe as far as reports were seen to tell where work begins at once.
-            gain = (
-                endpoints.told[1] - endpoints.told[0]
-                if thin and endpoint and endpoint.expected_wait > 0 and request.search_rounds < 3
-                else 0
-            )
-            if gain > 0 and self.chance.draw() < gain and (yield from self.ask(request, now, some)):
-                continue
-            if endpoint:
-                if request.attempts and request.origin_node is None:
-                    self.retry_budget.again.add(now)
-                    if self.quotas.limits:
-                        self.quotas.limits.again(now, request)
-                attempt = Attempt(request, endpoint, now, lender)
-                endpoints.sends.add(now)
-                self.asked.pop(request.slot_request_number, None)
-                if (
-                    not self.capabilities.start_notices
-                ):  # the design's second clock: the send plus the modelled wait
-                    self.clock(attempt, now + int(endpoint.expected_wait))
-                if endpoint in some and not thin and not endpoints.ready(endpoint, now):
-                    some.remove(endpoint)
-                attempt.had_free_slot = not endpoint.reported_wait if thin else None
-                if request.origin_node is None:
-                    yield ("forward", request.id, endpoint.id, request.deadline - now - 3 * self.tick)
-                else:
-                    attempt.start_allowance = 2 * PATIENCE
-                    self.leases.append((now + LEASE, attempt))
-                    yield ("tell", request.origin_node, "lend", request.id[1], endpoint.rank)
-            elif request.origin_node is not None and not request.search_rounds:
-                request.search_rounds = 1
-                yield ("tell", request.origin_node, "none", request.id[1], request.over_quota)
-            elif thin and not waits:
-                # All nodes read the same late reports: asking until one has room makes all meet there.
-                again = request.search_rounds < (
-                    1 + (self.chance.draw() > endpoints.late[0]) if some and endpoints.slots else 4
-                )
-                yield from self.ask(request, now) if again else (self.give_up(request, now),)
-
-    def borrow(self, request, now):
-        """Asks the keeper of a randomly drawn executor; another when it has none free or does not answer."""
-        endpoints = self.endpoints
-        if request.asked_group:
-            endpoints.keeper(request.asked_group, now, silent=True)
-            request.tried_groups.discard(request.asked_group)
-            request.asked_group = None
-        leave = self.leave(request)
-        left = [g for g, some in endpoints.groups.items() if g not in request.tried_groups for _ in some]
-        pool = [g for g in left if g[0] == endpoints.zone] or [g for g in left if now >= leave]
-        request.next_search_at = int(leave) + 1 if left and not pool else request.latest_start
-        if pool:
-            group = self.chance.pick(pool)
-            request.tried_groups.add(group)
-            to = endpoints.keeper(group, now)
-            if to == endpoints.me:
-                request.placement_group, request.next_search_at = group, now + 1
-                request.over_quota = (
-                    request.over_quota
-                    if request.search_rounds
-                    else self.quotas.over(now, request.tenant, len(endpoints.groups))
-                )
-            else:
-                request.asked_group, request.next_search_at = group, now + PATIENCE
-                tenant = [*self.quotas.tenants, request.tenant].index(request.tenant)
-                yield (
-                    "tell",
-                    to,
-                    "ask",
-                    request.slot_request_number,
-                    endpoints.groups[group][0].rank,
-                    request.deadline - now,
-                    request.estimated_work,
-                    tenant,
-                    request.slots,
-                    request.tier,
-                    self.ops.index(request.operation),
-                    request.search_rounds > 0,
-                    request.over_quota,
-                )
-            request.search_rounds += 1
-
-    def leave(self, request):
-        """Crossing costs by the forward: home is waited for the longer the less there is to gain."""
-        part = self.endpoints.cross * (
-            (request.operation.mean_work or request.estimated_work) / request.estimated_work
-            if self.by_work
-            else 1
-        )
-        return request.arrived_at + part * (request.latest_start - request.arrived_at)
-
-    def ask(self, request, now, some=()):
-        """One random executor, by size, of home or of the other zones, in turn; some: those asked before."""
-        endpoints, request.probed_endpoints = self.endpoints, [*some]
-        away = max(4 * (endpoints.late[0] - endpoints.late[1] - endpoints.cross), 0.02)
-        request.probing_other_zones = (
-            not request.probing_other_zones if request.search_rounds else self.chance.draw() < away
-        )
-        request.search_rounds, request.next_search_at = (
-            request.search_rounds + 1,
-            now + TICKS_PER_SECOND // 20,
-        )
-        left = [
-            endpoint for endpoint in endpoints.healthy if not endpoint.probe_sent_at and endpoint not in some
-        ]
-        side = [
-            endpoint for endpoint in left if (endpoint.zone != endpoints.zone) == request.probing_other_zones
-        ] or left
-        # First those where own work started at once and ended lately; short jobs have turned that over.
-        keep, young = self.chance.draw() * TICKS_PER_SECOND < 2 * endpoints.mean, now - endpoints.ramp
-        known = [
-            endpoint
-            for endpoint in side
-            if keep
-            and not endpoint.in_flight
-            and now < endpoint.last_heard_at + 4 * TICKS_PER_SECOND
-            and endpoint.started_at < young
-            and endpoint.expected_wait <= endpoints.quick
-        ]
-        # Young ones whose budget has come go before all: with many, the few old would else carry everything.
-        turn = [
-            endpoint
-            for endpoint in side
-            if endpoint.started_at >= young
-            and self.suits(request, endpoint, now)
-            and endpoints.ready(endpoint, now)
-        ]
-        for _ in range(32 if side else 0):
-            endpoint = self.chance.pick(turn or known or side)
-            fits = (
-                turn
-                or known
-                or self.chance.draw() * endpoints.largest_weight < endpoint.weight
-                and endpoint.started_at < young
-            )
-            if fits and self.suits(request, endpoint, now) and endpoints.ready(endpoint, now):
-                request.probed_endpoints, endpoint.probe_sent_at = [*some, endpoint], now
-                yield ("probe", endpoint.id)
-                return True
-        return False
-
-    def again(self, request, now):
-        """Whether a further forward may still come of it; the budget is this node's, not its keeper's."""
-        fleets = not self.quotas.limits or self.quotas.limits.further(now, request)
-        return (request.origin_node is not None or self.retry_budget.left(now)[0] >= 1 and fleets) and any(
-            self.allowed(request, endpoint, now) for endpoint in self.endpoints.healthy
-        )
-
-    def allowed(self, request, endpoint, now):
-        """Rule 2: what may have run goes again only where a repeat is dropped, within the window."""
-        if len(request.attempts) >= self.request_limits.max_attempts:
-            return False
-        first = next((attempt for attempt in request.attempts if not attempt.never_ran), None)
-        if first is None or request.operation.effect == Effect.IDEMPOTENT:
-            return True
-        if (
-            request.operation.effect == Effect.NON_IDEMPOTENT
-            or now + 10 * self.tick > first.sent_at + request.operation.idempotency_window
-        ):
-            return False
-        return request.operation.idempotency_group == "all" or getattr(
-            endpoint, request.operation.idempotency_group
-        ) == getattr(first.endpoint, request.operation.idempotency_group)
-
-    def suits(self, request, endpoint, now):
-        return (
-            (not self.cutoffs.best or endpoint.tier == request.tier)
-            and endpoint.rejected_until.get(request.operation, 0) <= now
-            and request.operation.endpoint_kind in (None, endpoint.kind)
-            and (not request.attempts or self.allowed(request, endpoint, now))
-        )
-
-    def choose(self, request, free, now, thin):
-        endpoints = self.endpoints
-        pool = [endpoint for endpoint in free if self.suits(request, endpoint, now)]
-        if (
-            request.slots > 1 and 2 * now < request.arrived_at + request.latest_start
-        ):  # a queue's head blocks it
-            pool = [
-                endpoint
-                for endpoint in pool
-                if endpoint.slots_in_use + request.slots
-                <= max(endpoint.credit * endpoints.warmth(endpoint, now), request.slots)
-            ]
-        if not thin and not self.uses_coordinators:
-            near = [endpoint for endpoint in pool if endpoint.zone == endpoints.zone]
-            pool = near if near or now < self.leave(request) else pool
-        end, lag = (
-            request.first_arrived_at
-            + request.operation.latency_objective
-            + request.operation.objective_stretch * request.estimated_work
-            - now,
-            endpoints.lag(now),
-        )
-        if thin:
-            pool = [
-                endpoint
-                for endpoint in pool
-                if endpoint.expected_wait + lag
-                <= max(end - request.estimated_work / endpoint.speed, endpoints.quick)
-            ]
-        pool = [
-            endpoint
-            for endpoint in pool
-            if endpoint.expected_wait
-            + request.estimated_work / (endpoint.speed * endpoints.warmth(endpoint, now))
-            <= end
-        ] or pool
-        if thin and len(pool) > 1:
-            return min(
-                pool, key=lambda endpoint: endpoint.expected_wait + request.estimated_work / endpoint.speed
-            )
-        far = sum(endpoint.slots_in_use / endpoint.credit for endpoint in pool) / max(len(pool), 1) + 0.2
-        return (
-            self.chance.pick(
-                [endpoint for endpoint in pool if endpoint.slots_in_use / endpoint.credit <= far]
-            )
-            if pool
-            else None
-        )
-
-    def give_up(self, request, now):
-        """Final at once. A throttling reply says that trying again is harmless (rule 2), an error nothing."""
-        free = request.operation.effect == Effect.IDEMPOTENT or (
-            request.operation.effect == Effect.KEYED and request.operation.idempotency_group == "all"
-        )
-        free, again = (
-            free or all(attempt.never_ran for attempt in request.attempts),
-            request.retry_after or TICKS_PER_SECOND // 2,
-        )
-        self.finish(request)
-        return (
-            ("throttle", request.id, min(self.request_limits.max_retry_after, again))
-            if free
-            else ("error", request.id)
-        )
+    """The decisions of one node: events in, actions out, no I/O between.
+
+    A host reports events by `handle`. After all events of an instant it calls `next_action` until that gives
+    None, and carries out each action.
+
+    Attributes:
+        context: What all rules share; its `endpoints`, `cutoffs`, `quotas`, `retry_budget` and `requests` are
+            attributes as well.
+        eligibility: Rule 2, which endpoints may get a retry.
+        selection: Which endpoint gets a request.
+        probing: Which endpoints are probed.
+        lending: Slots granted by coordinators.
+        queue: The requests that wait.
+        cutting: Which running attempts are cut.
+        admission: What a request is reckoned with.
+        tracking: What attempts teach.
+        list_polling: When the endpoint list is asked for.
+    """
+
+    def __init__(self, random, parts, settings):
+        context = self.context = PolicyContext(random, parts, settings)
+        self.endpoints = context.endpoints
+        self.cutoffs = context.cutoffs
+        self.quotas = context.quotas
+        self.retry_budget = context.retry_budget
+        self.requests = context.requests
+        self.eligibility = RetryEligibility(context)
+        self.selection = EndpointSelection(context, self.eligibility)
+        self.probing = Probing(context, self.selection)
+        self.lending = SlotLending(context, self.eligibility, self.selection)
+        self.queue = RequestQueue(context, self.lending)
+        self.cutting = Cutting(context)
+        self.admission = Admission(context, self.queue)
+        self.tracking = AttemptTracking(context, self.queue, self.cutting)
+        self.list_polling = ListPolling(context)
+        self._placement = Placement(context, self)
+        self._actions = None
+        self._placed_changes = 0
+        self._handlers = {
+            events.RequestArrived: self.admission.admit,
+            events.AttemptStarted: self.tracking.started,
+            events.AttemptProgressed: self.tracking.progressed,
+            events.AttemptEnded: self.tracking.ended,
+            events.ProbeAnswered: self._on_probe_answered,
+            events.ClientLeft: self._on_client_left,
+            events.EndpointsChanged: self._on_endpoints_changed,
+            events.EndpointListUnavailable: self.list_polling.on_unavailable,
+            events.PeerMessageReceived: self._on_peer_message,
+        }
+        self._peer_handlers = {
+            peer_messages.SlotRequest: self.admission.admit_from_peer,
+            peer_messages.SlotGrant: self.lending.on_grant,
+            peer_messages.SlotDenial: self.lending.on_denial,
+            peer_messages.SlotStarted: self._on_slot_started,
+            peer_messages.SlotProgressed: self._on_slot_progressed,
+            peer_messages.SlotReleased: self._on_slot_released,
+        }
+
+    def handle(self, now, event):
+        """Takes in one event (`grebedyke.model.events`)."""
+        self._handlers[type(event)](now, event)
+
+    def next_action(self, now):
+        """The next action (`grebedyke.model.actions`), or None where there is nothing more to do."""
+        self._actions = self._actions or self._work(now)
+        action = next(self._actions, None)
+        if action is None:
+            self._actions = None
+        return action
+
+    def set_banned(self, now, endpoint_id, banned):
+        """An operator bans an endpoint or takes that back; returns whether the list ever had it."""
+        self.context.changes += 1
+        return self.context.endpoints.set_banned(now, endpoint_id, banned)
+
+    def place_again(self):
+        """Looks at all waiting requests with the next action, as after a reload."""
+        self.queue.wake_at = 0
+
+    def _work(self, now):
+        context = self.context
+        if self.list_polling.is_due(now):
+            yield PollEndpointList()
+        if context.cutoffs.step(now, context.endpoints):
+            context.endpoints.assign_tiers(context.cutoffs.share if context.cutoffs.best else 0.0)
+            yield Note(context.cutoffs.why)
+        yield from self.cutting.due(now)
+        for attempt in self.lending.expired(now):
+            self.tracking.ended(now, AttemptEnded(attempt.request.id, attempt.index, Outcome.TIMEOUT, True))
+        # With coordinators many more requests wait: starts and progress, which let none of them go, must not
+        # cost a look at all of them.
+        changed = context.changes != self._placed_changes or self.queue.wake_at <= now
+        if changed or not context.uses_coordinators:
+            self._placed_changes = context.changes
+            yield from self._placement.place(now)
+            wake = self.queue.next_wake(now, self._other_wakes(now))
+            if wake is not None:
+                yield WakeAt(wake)
+        while context.outbox:
+            yield context.outbox.popleft()
+
+    def _other_wakes(self, now):
+        soon = now + SOON_INTERVALS * self.context.settings.scheduling_interval
+        cutting = self.cutting.planned or self.context.cutoffs.left
+        return self.list_polling.poll_at or inf, soon if cutting else inf
+
+    def _on_probe_answered(self, now, event):
+        self.context.endpoints.probed(
+            now, event.endpoint_id, event.outcome, event.free_slots, event.held_work
+        )
+
+    def _on_client_left(self, now, event):
+        request = self.context.requests.get(event.request_id)
+        if request:
+            self.queue.finish(request)
+
+    def _on_endpoints_changed(self, now, event):
+        self.context.endpoints.update(now, event.replaces_all, event.rows)
+        self.list_polling.failures = 0
+        self.context.changes += 1
+
+    def _on_peer_message(self, now, event):
+        endpoints = self.context.endpoints
+        is_peer = event.node != endpoints.me and 0 <= event.node < endpoints.nodes
+        if self.context.uses_coordinators and is_peer:
+            self._peer_handlers[type(event.message)](now, event.node, event.message)
+
+    # A granted slot's attempt is booked here under (node, number), as that request's first.
+
+    def _on_slot_started(self, now, node, message):
+        event = AttemptStarted((node, message.number), 0, message.opened_connection)
+        self.tracking.started(now, event, message.start_delay)
+
+    def _on_slot_progressed(self, now, node, message):
+        self.tracking.progressed(now, AttemptProgressed((node, message.number), 0))
+
+    def _on_slot_released(self, now, node, message):
+        event = AttemptEnded((node, message.number), 0, message.outcome, True, message.free_slots)
+        self.tracking.ended(now, event)
--- /dev/null
+++ b/grebedyke/policy/placement.py
@@ -0,0 +1,136 @@
+"""Rule: what becomes of a waiting request: it is sent, probed for, asked for at a coordinator or given up.
+
+Inputs: the queue in its order, the endpoints with room. Requests are gone through once a pass, whenever
+something has changed that may let one go.
+"""
+
+from itertools import islice
+
+from grebedyke.model.actions import Forward, SendPeerMessage
+from grebedyke.model.attempt import Attempt
+from grebedyke.model.peer_messages import SlotDenial
+from grebedyke.policy.giving_up import final_answer
+
+# Endpoints with room that a pass looks at, of each group: CPU must not grow with the fleet.
+MAX_CANDIDATES = 24
+# Scheduling intervals before the deadline at which an attempt's time is over.
+TIMEOUT_MARGIN_INTERVALS = 3
+
+
+class Placement:
+    """Goes through the waiting requests; `rules` is the dispatcher, which has them."""
+
+    def __init__(self, context, rules):
+        self._context = context
+        self._rules = rules
+
+    def place(self, now):
+        """Yields the actions for all waiting requests."""
+        rules = self._rules
+        by_reports = rules.probing.is_sparse(now)
+        ready_by_group = {}
+        for request in rules.queue.in_order():
+            retry = bool(request.attempts)
+            if now >= request.latest_start or retry and not rules.eligibility.may_still_come(request, now):
+                yield from self._give_up(request)
+                continue
+            if rules.lending.is_slot_wanted(request, now):
+                slot_request = rules.lending.ask(request, now)
+                if slot_request:
+                    yield slot_request
+            if by_reports:
+                yield from self._place_by_reports(request, now)
+            else:
+                yield from self._place_by_load(request, now, ready_by_group)
+
+    def _place_by_load(self, request, now, ready_by_group):
+        candidates = ready_by_group.get(request.placement_group)
+        if candidates is None:
+            candidates = ready_by_group[request.placement_group] = self._ready(request.placement_group, now)
+        endpoint, granting_node = request.reservation or (None, None)
+        if not request.reservation and candidates:
+            endpoint = self._rules.selection.choose(request, candidates, now, by_reports=False)
+        if endpoint:
+            attempt = self._begin_attempt(request, endpoint, now, granting_node)
+            if endpoint in candidates and not self._context.endpoints.ready(endpoint, now):
+                candidates.remove(endpoint)
+            yield self._sent(attempt, now)
+        else:
+            yield from self._deny(request)
+
+    def _place_by_reports(self, request, now):
+        """Places a request by what the endpoints probed for it reported."""
+        rules = self._rules
+        probed = request.probed_endpoints
+        ready = self._context.endpoints.ready
+        candidates = [endpoint for endpoint in probed if not endpoint.probe_sent_at and ready(endpoint, now)]
+        awaits_report = now < request.next_search_at and any(endpoint.probe_sent_at for endpoint in probed)
+        endpoint, granting_node = request.reservation or (None, None)
+        if not request.reservation and candidates and not awaits_report:
+            endpoint = rules.selection.choose(request, candidates, now, by_reports=True)
+        if endpoint and rules.probing.is_another_worth_it(request, endpoint):
+            probe = rules.probing.next_probe(request, now, candidates)
+            if probe:
+                yield probe
+                return
+        if endpoint:
+            attempt = self._begin_attempt(request, endpoint, now, granting_node)
+            attempt.had_free_slot = not endpoint.reported_wait
+            yield self._sent(attempt, now)
+        elif request.origin_node is not None and not request.search_rounds:
+            yield from self._deny(request)
+        elif not awaits_report:
+            yield from self._probe_or_give_up(request, now, bool(candidates))
+
+    def _probe_or_give_up(self, request, now, some_are_ready):
+        if not self._rules.probing.may_go_on(request, some_are_ready):
+            yield from self._give_up(request)
+            return
+        probe = self._rules.probing.next_probe(request, now)
+        if probe:
+            yield probe
+
+    def _ready(self, group, now):
+        """Some endpoints of the group with room, from a random place in their order by hash on."""
+        endpoints = self._context.endpoints
+        members = endpoints.groups.get(group, [])
+        start = int(self._context.random.draw() * len(members))
+        from_start = members[start:] + members[:start]
+        return list(
+            islice((endpoint for endpoint in from_start if endpoints.ready(endpoint, now)), MAX_CANDIDATES)
+        )
+
+    def _begin_attempt(self, request, endpoint, now, granting_node):
+        """Books the attempt wherever it counts."""
+        context = self._context
+        if request.attempts and request.origin_node is None:
+            context.retry_budget.again.add(now)
+            if context.quotas.limits:
+                context.quotas.limits.again(now, request)
+        attempt = Attempt(request, endpoint, now, granting_node)
+        context.endpoints.sends.add(now)
+        self._rules.lending.searches.pop(request.slot_request_number, None)
+        if not context.settings.capabilities.start_notices:
+            self._rules.cutting.start_clock(attempt, now + int(endpoint.expected_wait))
+        return attempt
+
+    def _sent(self, attempt, now):
+        """The action that sends it, or that lets a peer send it."""
+        request = attempt.request
+        if request.origin_node is not None:
+            return self._rules.lending.grant(attempt, now)
+        margin = TIMEOUT_MARGIN_INTERVALS * self._context.settings.scheduling_interval
+        return Forward(request.id, attempt.endpoint.id, request.deadline - now - margin)
+
+    def _deny(self, request):
+        """Tells a peer once that its request waits here."""
+        if request.origin_node is not None and not request.search_rounds:
+            request.search_rounds = 1
+            yield SendPeerMessage(request.origin_node, SlotDenial(request.id[1], request.over_quota))
+
+    def _give_up(self, request):
+        """Answers a request of this node; a peer's is answered by its own node."""
+        answer = final_answer(request, self._context.settings) if request.origin_node is None else None
+        self._rules.queue.finish(request)
+        if answer:
+            yield answer
--- /dev/null
+++ b/grebedyke/policy/probing.py
@@ -0,0 +1,113 @@
+"""Rule: which endpoint is probed for a request, and when one more probe is worth it.
+
+Where a node sends little, its own attempts tell little of endpoints' loads, so it probes one before it sends.
+Inputs: zones and how late work starts in them, list weights, what is known of each endpoint. Probes are few:
+all nodes read the same late reports, and asking until one has room would make all meet there.
+"""
+
+from grebedyke.model.actions import Probe
+from grebedyke.units import TICKS_PER_SECOND
+
+PROBE_WAIT = TICKS_PER_SECOND // 20
+MAX_DRAWS = 32
+MAX_ROUNDS_FOR_A_REPORT = 3  # a wait was reported: probes until the least reported one is taken
+MAX_ROUNDS = 4
+# How much likelier another zone is for each share of the objective that work starts later in this one.
+CROSSING_GAIN = 4
+MIN_CROSSING_CHANCE = 0.02
+# For so long an endpoint at which own work started at once counts as free.
+RECENT = 4 * TICKS_PER_SECOND
+
+
+class Probing:
+    """Chooses endpoints to probe."""
+
+    def __init__(self, context, selection):
+        self._context = context
+        self._selection = selection
+
+    def is_sparse(self, now):
+        """Whether on average under a quarter of an attempt of this node is open at an endpoint."""
+        context = self._context
+        endpoints = context.endpoints
+        if not context.settings.capabilities.probes:
+            return False
+        return context.cutoffs.arrivals.total(now) * endpoints.mean < TICKS_PER_SECOND * len(
+            endpoints.healthy
+        )
+
+    def is_another_worth_it(self, request, endpoint):
+        """Whether to probe once more although `endpoint` could get it: as far as reports tell waits."""
+        context = self._context
+        if endpoint.expected_wait <= 0 or request.search_rounds >= MAX_ROUNDS_FOR_A_REPORT:
+            return False
+        gain = context.endpoints.told[1] - context.endpoints.told[0]
+        return gain > 0 and context.random.draw() < gain
+
+    def may_go_on(self, request, some_are_ready):
+        """Whether to probe once more when none of the probed endpoints can be in time."""
+        context = self._context
+        if not some_are_ready or not context.endpoints.slots:
+            return request.search_rounds < MAX_ROUNDS
+        return request.search_rounds < 1 + (context.random.draw() > context.endpoints.late[0])
+
+    def next_probe(self, request, now, probed_before=()):
+        """Draws an endpoint to probe, by weight, and returns the action, or None where none fits."""
+        context = self._context
+        endpoints = context.endpoints
+        request.probed_endpoints = [*probed_before]
+        if request.search_rounds:
+            request.probing_other_zones = not request.probing_other_zones
+        else:
+            request.probing_other_zones = context.random.draw() < self._crossing_chance()
+        request.search_rounds += 1
+        request.next_search_at = now + PROBE_WAIT
+        pool = [e for e in endpoints.healthy if not e.probe_sent_at and e not in probed_before]
+        pool = [e for e in pool if (e.zone != endpoints.zone) == request.probing_other_zones] or pool
+        preferred = self._preferred(request, pool, now)
+        warm_since = now - endpoints.ramp
+        for _ in range(MAX_DRAWS if pool else 0):
+            endpoint = context.random.pick(preferred or pool)
+            if not preferred and not self._is_drawn(endpoint, warm_since):
+                continue
+            if self._selection.is_eligible(request, endpoint, now) and endpoints.ready(endpoint, now):
+                request.probed_endpoints = [*probed_before, endpoint]
+                endpoint.probe_sent_at = now
+                return Probe(endpoint.id)
+        return None
+
+    def _crossing_chance(self):
+        endpoints = self._context.endpoints
+        gain = endpoints.late[0] - endpoints.late[1] - endpoints.cross
+        return max(CROSSING_GAIN * gain, MIN_CROSSING_CHANCE)
+
+    def _is_drawn(self, endpoint, warm_since):
+        by_weight = self._context.random.draw() * self._context.endpoints.largest_weight < endpoint.weight
+        return by_weight and endpoint.started_at < warm_since
+
+    def _preferred(self, request, pool, now):
+        """Endpoints to draw from before all others: those that warm up and may get one, then the free ones.
+
+        With many that warm up, the few others would else carry everything. What is known of free slots is
+        soon past where work is short, so it is used the more often the longer work takes.
+        """
+        endpoints = self._context.endpoints
+        warm_since = now - endpoints.ramp
+        use_recent = self._context.random.draw() * TICKS_PER_SECOND < 2 * endpoints.mean
+        warming = [
+            endpoint
+            for endpoint in pool
+            if endpoint.started_at >= warm_since
+            and self._selection.is_eligible(request, endpoint, now)
+            and endpoints.ready(endpoint, now)
+        ]
+        if warming or not use_recent:
+            return warming
+        return [
+            endpoint
+            for endpoint in pool
+            if not endpoint.in_flight
+            and now < endpoint.last_heard_at + RECENT
+            and endpoint.started_at < warm_since
+            and endpoint.expected_wait <= endpoints.quick
+        ]
--- a/grebedyke/service/assembly.py
+++ b/grebedyke/service/assembly.py
@@ -9,7 +9,7 @@
 from grebedyke.service.handover import Handover
 from grebedyke.service.log import Gauges
 from grebedyke.service.node import Node, Phase
-from grebedyke.service.switch import switch
+from grebedyke.service.reload import reload
 from grebedyke.service.turn import Turn
 from grebedyke.units import TICKS_PER_SECOND, ticks
 from grebedyke.wire.clients import Door
@@ -76,7 +76,7 @@
     return {
         "listed": len(listed),
         "out": sum(e.ejected_until > now for e in listed),
-        "held": sum(request.queued for request in dispatcher.queue),
+        "held": sum(request.queued for request in dispatcher.queue.waiting),
     }
 
 
@@ -112,7 +112,7 @@
         for_watch[2],
     )
     peers = desk.peers = Peers(loop, turn, desk.heard)
-    turn.decide, turn.carry = dispatcher.decide, desk.do
+    turn.decide, turn.carry = dispatcher.next_action, desk.do
     gauges.levels = partial(levels, turn, dispatcher)
 
     def renew(said):
@@ -121,7 +121,7 @@
         fresh, (for_pool, for_desk, for_door, for_watch) = open_dispatcher(said["seed"], conf), parts_of(conf)
 
         def in_force(now):
-            switch(now, dispatcher, fresh)
+            reload(now, dispatcher, fresh)
             pool.tune(*for_pool)
             desk.tune(*for_desk)
             door.tune(*for_door)
--- a/grebedyke/service/configuration/terms.py
+++ b/grebedyke/service/configuration/terms.py
@@ -7,7 +7,7 @@
 from grebedyke.model.operation import Operation
 from grebedyke.model.outcome import Effect
 from grebedyke.model.seeded_random import SeededRandom
-from grebedyke.model.settings import Capabilities, PolicyParts, RequestLimits
+from grebedyke.model.settings import Capabilities, DispatcherSettings, PolicyParts, RequestLimits
 from grebedyke.policy.cutoff_search import CutoffSearch
 from grebedyke.policy.dispatcher import Dispatcher
 from grebedyke.policy.endpoint_table import EndpointTable
@@ -160,18 +160,22 @@
     )
     quotas = {row["name"]: row["quotaRps"] for row in conf["parties"]}
     budget = RetryBudget(rules["extraFloor"] or 0, rules["resendRatio"] or 0, ticks(rules["lookBackMs"] or 0))
-    return Dispatcher(
-        chance,
-        PolicyParts(CutoffSearch(chance, nodes), fleet, TenantQuotas(quotas, nodes), budget),
-        operations,
-        ticks(conf["tickMs"]),
-        conf["billedValueBy"] == "work",
-        Capabilities(
-            limits["mayCancel"], family["tellsStart"], limits["probes"], conf["registryMode"] == "ask"
+    parts = PolicyParts(CutoffSearch(chance, nodes), fleet, TenantQuotas(quotas, nodes), budget)
+    settings = DispatcherSettings(
+        operations=operations,
+        peer_operations=[*operations.values()],
+        scheduling_interval=ticks(conf["tickMs"]),
+        weighs_by_work=conf["billedValueBy"] == "work",
+        capabilities=Capabilities(
+            cancels=limits["mayCancel"],
+            start_notices=family["tellsStart"],
+            probes=limits["probes"],
+            polls_list=conf["registryMode"] == "ask",
         ),
-        RequestLimits(
-            int(limits["maxForwards"]),
-            ticks(limits["maxRetryAfterMs"]) if limits["retryAfter"] else 0,
-            int(limits["maxOpen"]),
+        limits=RequestLimits(
+            max_attempts=int(limits["maxForwards"]),
+            max_retry_after=ticks(limits["maxRetryAfterMs"]) if limits["retryAfter"] else 0,
+            max_open=int(limits["maxOpen"]),
         ),
     )
+    return Dispatcher(chance, parts, settings)
--- a/grebedyke/service/desk.py
+++ b/grebedyke/service/desk.py
@@ -4,11 +4,24 @@
 
 from loguru import logger
 
+from grebedyke.model import actions
+from grebedyke.model.endpoint_list import EndpointRow
+from grebedyke.model.events import (
+    AttemptEnded,
+    AttemptProgressed,
+    AttemptStarted,
+    ClientLeft,
+    EndpointListUnavailable,
+    EndpointsChanged,
+    PeerMessageReceived,
+    ProbeAnswered,
+    RequestArrived,
+)
 from grebedyke.model.in_flight import Flight, Owed
 from grebedyke.model.outcome import Outcome
 from grebedyke.service import log
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire import reports, words
+from grebedyke.wire import peer_codec, reports
 from grebedyke.wire.executors import BROKEN, UNSENT
 
 # What the state in a call-back means; one that is not here is news of a job under way.
@@ -31,16 +44,16 @@
         self.owed, self.latest, self.watch, self.peers, self.shift = {}, None, None, None, 0
         self.tell_other = None  # where two processes are one node: tells the other one
         self.also_listed = None  # told of each list too
-        self.deeds = {
-            "forward": self.forward,
-            "cancel": self.cancel,
-            "throttle": self.throttle,
-            "error": self.error,
-            "probe": self.probe,
-            "wake": self.wake,
-            "follow": self.follow,
-            "note": self.note,
-            "tell": self.tell,
+        self.carriers = {
+            actions.Forward: self.forward,
+            actions.Cancel: self.cancel,
+            actions.Throttle: self.throttle,
+            actions.Fail: self.error,
+            actions.Probe: self.probe,
+            actions.WakeAt: self.wake,
+            actions.PollEndpointList: self.follow,
+            actions.Note: self.note,
+            actions.SendPeerMessage: self.tell,
         }
 
     def tune(self, most_forwards, most_open, probe_path, probe_wait, margin, tick):
@@ -75,13 +88,14 @@
         # Whatever fails from here on, the invocation is answered in time.
         self.turn.at(max(owed.due - self.tick, now + 1), self.overslept, owed)
         if owed.client:
-            self.dispatcher.taken(now, owed.id, operation, tenant, due, hint, slots)
+            event = RequestArrived(owed.id, operation, tenant, due, hint, slots)
+            self.dispatcher.handle(now, event)
 
     def left(self, now, owed, client):
         if owed.client is client:
             owed.client = None
             self.gauges.count("left")
-            self.dispatcher.left(now, owed.id)
+            self.dispatcher.handle(now, ClientLeft(owed.id))
             self.settle(now, owed)
 
     def news(self, now, id, name, state, result, load=None, ours=True):
@@ -98,10 +112,11 @@
         if state == "started":
             if not flight.began:
                 flight.began = True
-                self.dispatcher.started(now, owed.id, flight.n, flight.call.opened)
+                event = AttemptStarted(owed.id, flight.n, flight.call.opened)
+                self.dispatcher.handle(now, event)
         elif state not in ENDS:
             flight.began = True
-            self.dispatcher.progressed(now, owed.id, flight.n)
+            self.dispatcher.handle(now, AttemptProgressed(owed.id, flight.n))
         elif flight.again and state != "done":
             # It may be told of the earlier forward there: then this one is not known to be over.
             self.give_up(flight, Outcome.CONNECTION_RESET)
@@ -136,19 +151,16 @@
 
     def listed(self, now, whole, rows):
         self.pool.listed(whole, [(row[0], row[1], row[5], row[6]) for row in rows])
-        self.dispatcher.listed(
-            now,
-            whole,
-            [
-                (name, zone, kind, cell, state, since and since * 10 + self.shift, weight)
-                for name, _, zone, kind, cell, state, since, weight in rows
-            ],
-        )
+        changed = [
+            EndpointRow(name, zone, kind, cell, state, since and since * 10 + self.shift, weight)
+            for name, _, zone, kind, cell, state, since, weight in rows
+        ]
+        self.dispatcher.handle(now, EndpointsChanged(whole, changed))
         if self.also_listed:
             self.also_listed(now, whole, rows)
 
     def unlisted(self, now):
-        self.dispatcher.unlisted(now)
+        self.dispatcher.handle(now, EndpointListUnavailable())
 
     def books(self):
         """For a process that goes on with this one's work: the executors with their addresses."""
@@ -168,17 +180,19 @@
         self.dispatcher.endpoints.restore(now, books["executors"])
         # A process of before this had no such books: what it has sent is unknown.
         self.dispatcher.retry_budget.recall(now, *books.get("budget") or ((), (), 0, 0))
-        self.dispatcher.listed(now, False, [])
+        self.dispatcher.handle(now, EndpointsChanged(False, []))
 
     def by_hand(self, now, name, out):
         if out:
             # What still connects would reach an executor of which the operators were told that it is out.
             for flight in [f for owed in self.owed.values() for f in owed.flights if f.endpoint.name == name]:
                 self.take_back(now, flight)
-        return self.dispatcher.by_hand(now, name, out)
+        return self.dispatcher.set_banned(now, name, out)
 
     def heard(self, now, by, body):
-        words.deliver(self.dispatcher, now, by, body)
+        message = peer_codec.decode(body)
+        if message:
+            self.dispatcher.handle(now, PeerMessageReceived(by, message))
 
     # Ends of forwards and invocations.
 
@@ -192,7 +206,8 @@
             self.gauges.count(log.ENDS[outcome])
         if outcome == Outcome.SUCCEEDED and owed.client:
             self.reply(now, owed, 200, "succeeded", result)
-        self.dispatcher.ended(now, owed.id, flight.n, outcome, owed.client is None, free)
+        event = AttemptEnded(owed.id, flight.n, outcome, owed.client is None, free)
+        self.dispatcher.handle(now, event)
         self.settle(now, owed)
 
     def reply(self, now, owed, status, outcome, body=b"", headers=""):
@@ -277,15 +292,15 @@
             if self.gauges.few("odd"):
                 logger.warning("invocation unanswered at its due time: errored", event="overslept")
             self.reply(now, owed, 500, "errored")
-            self.dispatcher.left(now, owed.id)
+            self.dispatcher.handle(now, ClientLeft(owed.id))
             for flight in owed.flights:
                 self.overdue(now, flight)
             self.settle(now, owed)
 
     # What the module decided.
 
-    def do(self, now, decision):
-        self.deeds[decision[0]](now, *decision[1:])
+    def do(self, now, action):
+        self.carriers[type(action)](now, *action)
 
     def forward(self, now, id, name, allowed):
         owed, endpoint = self.owed[id], self.pool.endpoint(name)
@@ -333,7 +348,8 @@
         def once(now, outcome, text=""):
             if not sent[0]:
                 sent[0] = True
-                self.dispatcher.probed(now, name, outcome, *reports.room(reports.figures(text)))
+                event = ProbeAnswered(name, outcome, *reports.room(reports.figures(text)))
+                self.dispatcher.handle(now, event)
 
         def came(how, status, headers, body):
             text = (body or headers.get(b"x-server-load", b"")).decode("latin-1")
@@ -358,8 +374,8 @@
         call = endpoint.call(b"GET", self.probe_path, (), b"", came)
         self.turn.at(now + self.probe_wait, silent)
 
-    def tell(self, now, to, *word):
-        self.peers.send(to, words.pack(*word))
+    def tell(self, now, to, message):
+        self.peers.send(to, peer_codec.encode(message))
 
     def wake(self, now, at):
         self.turn.at(at, lambda now: None)
--- a/grebedyke/service/fleet.py
+++ b/grebedyke/service/fleet.py
@@ -120,10 +120,10 @@
         return decision if decision is not None else parts.decide(now)
 
     def do(now, decision):
-        if isinstance(decision[0], str):
-            carry(now, decision)
-        else:
+        if type(decision) is tuple:
             parts.do(now, *decision)
+        else:
+            carry(now, decision)
 
     turn.decide, turn.carry, turn.last_look = next_decision, do, parts.last_look
     peers.heard, peers.largest = heard, framing.LARGEST
--- /dev/null
+++ b/grebedyke/service/reload.py
@@ -0,0 +1,116 @@
+"""Takes changed settings over into a dispatcher that runs, between two batches.
+
+Load, credit, budgets and open requests stay. A second dispatcher beside the first would forget them, and two
+sets of decisions would load one executor.
+"""
+
+from inspect import signature
+
+from grebedyke.model.events import AttemptEnded, EndpointsChanged
+from grebedyke.model.outcome import Outcome
+from grebedyke.policy.giving_up import last_moment
+
+
+def reload(now, dispatcher, fresh):
+    """Puts the settings of `fresh` in force: a dispatcher just built of them, which is used up."""
+    endpoints = dispatcher.endpoints
+    renumbered = any(
+        getattr(endpoints, name) != getattr(fresh.endpoints, name)
+        for name in ("groups_per_zone", "nodes", "me")
+    )
+    _shorten_waits(dispatcher, fresh.context.settings)
+    _adopt_operations(dispatcher.context.settings, fresh.context.settings)
+    _adopt_parts(now, dispatcher, fresh)
+    dispatcher.context.settings = fresh.context.settings._replace(
+        # What came in under an operation that is no more is still placed by it; no more of it is taken.
+        operations={**dispatcher.context.settings.operations, **fresh.context.settings.operations}
+    )
+    for endpoint in endpoints.by_id.values():
+        endpoint.rejected_until = {}  # by operation, as it was before
+    if not dispatcher.context.settings.capabilities.cancels:
+        dispatcher.cutting.planned = []
+        dispatcher.cutoffs.best = None
+    if renumbered:
+        _renumber(now, dispatcher)
+    dispatcher.handle(now, EndpointsChanged(False, []))
+    dispatcher.place_again()
+    if dispatcher.context.settings.capabilities.polls_list and not dispatcher.list_polling.poll_at:
+        dispatcher.list_polling.on_unavailable(now)
+
+
+def _shorten_waits(dispatcher, settings):
+    """An attempt's time ends by the new scheduling interval.
+
+    A request that was taken by a shorter one would still be sent again then, beside an attempt that its
+    executor does not know to be given up.
+    """
+    for request in dispatcher.requests.values():
+        request.latest_start = min(request.latest_start, last_moment(request, settings))
+
+
+def _adopt_operations(settings, fresh):
+    """What was learnt of operations stays; open requests keep the operation that they were taken with."""
+    for name, operation in fresh.operations.items():
+        before = settings.operations.get(name)
+        if before:
+            operation.mean_work = before.mean_work
+            same_timeout = before.client_timeout == operation.client_timeout
+            operation.longest_timeout = before.longest_timeout if same_timeout else 0
+
+
+def _adopt_parts(now, dispatcher, fresh):
+    for part, fresh_part in (
+        (dispatcher.cutoffs, fresh.cutoffs),
+        (dispatcher.endpoints, fresh.endpoints),
+        (dispatcher.quotas, fresh.quotas),
+    ):
+        _copy(part, fresh_part)
+    budget, fresh_budget = dispatcher.retry_budget, fresh.retry_budget
+    if budget.window != fresh_budget.window:
+        # Counters of other spans; what was sent by the old settings is in the new window all the same.
+        fresh_budget.recall(now, budget.took.buckets(), budget.again.buckets(), budget.took.span, budget.shut)
+        budget.took, budget.again, budget.shut = fresh_budget.took, fresh_budget.again, fresh_budget.shut
+    _copy(budget, fresh_budget)
+    quotas = dispatcher.quotas
+    quotas.tenants = fresh.quotas.tenants
+    quotas.levels = {tenant: level for tenant, level in quotas.levels.items() if tenant in quotas.quotas}
+
+
+def _copy(part, fresh_part):
+    """Each setting is kept under the name by which the part is given it."""
+    for name in signature(type(part).__init__).parameters:
+        if name not in ("self", "chance"):
+            setattr(part, name, getattr(fresh_part, name))
+
+
+def _renumber(now, dispatcher):
+    """Nodes have other numbers or groups: granted slots go back without blame, searches begin anew."""
+    queue = dispatcher.queue
+    lending = dispatcher.lending
+    waiting = queue.in_order()
+    waiting.sort(key=lambda request: request.queue_key)
+    queue.waiting = {}
+    lending.searches = {}
+    dispatcher.endpoints.missed = {}
+    for request in list(dispatcher.requests.values()):
+        _forget_grants(now, dispatcher, request)
+    lending.leases.clear()
+    dispatcher.context.outbox.clear()
+    for request in reversed(waiting):
+        if request.origin_node is None:
+            request.placement_group = None
+            request.reservation = None
+            request.probed_endpoints = []
+            request.search_rounds = 0
+            request.next_search_at = 0
+            queue.add(request)
+
+
+def _forget_grants(now, dispatcher, request):
+    is_peers = request.origin_node is not None
+    for attempt in request.attempts:
+        attempt.granting_node = None  # no message of it to whoever has that number now
+        if is_peers and not attempt.ended:
+            dispatcher.handle(now, AttemptEnded(request.id, attempt.index, Outcome.NEVER_SENT, True))
+    if is_peers:
+        dispatcher.queue.finish(request)  # its own node answers it
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -268,8 +268,8 @@
             for name, what in (
                 ("owed", self.desk.owed),
                 ("invocations", d.requests),
-                ("held", [i for i in d.queue if i.queued]),
-                ("leases", d.leases),
+                ("held", [i for i in d.queue.waiting if i.queued]),
+                ("leases", d.lending.leases),
                 ("out", [e for e in d.endpoints.by_id.values() if e.in_flight or e.slots_in_use]),
                 ("flights", [e for e in pool.endpoints.values() if e.flights]),
                 ("busy lines", busy),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,9 +1,22 @@
 from types import SimpleNamespace
 
+from grebedyke.model.actions import Forward, Note, SendPeerMessage, WakeAt
+from grebedyke.model.endpoint_list import EndpointRow
+from grebedyke.model.events import (
+    AttemptEnded,
+    AttemptProgressed,
+    AttemptStarted,
+    ClientLeft,
+    EndpointListUnavailable,
+    EndpointsChanged,
+    PeerMessageReceived,
+    ProbeAnswered,
+    RequestArrived,
+)
 from grebedyke.model.operation import Operation
 from grebedyke.model.outcome import Effect
 from grebedyke.model.seeded_random import SeededRandom
-from grebedyke.model.settings import Capabilities, PolicyParts, RequestLimits
+from grebedyke.model.settings import Capabilities, DispatcherSettings, PolicyParts, RequestLimits
 from grebedyke.policy.cutoff_search import CutoffSearch
 from grebedyke.policy.dispatcher import Dispatcher
 from grebedyke.policy.endpoint_table import EndpointTable
@@ -12,7 +25,7 @@
 from grebedyke.service.desk import Desk
 from grebedyke.service.log import Gauges
 from grebedyke.service.turn import Turn
-from grebedyke.wire import words
+from grebedyke.wire import peer_codec
 from grebedyke.wire.clients import Client, Door
 from grebedyke.wire.executors import Line, Pool
 
@@ -49,37 +62,69 @@
     tenants=None,
     budget=(0, 0, 0),
 ):
-    ops = {"op": operation("op", effect, group, window)}
-    chance = SeededRandom(seed)
-    fleet = EndpointTable("a", me, nodes, 0.3, 80_000, 3.0, 250, progress, cross, split)
+    operations = {"op": operation("op", effect, group, window)}
+    random = SeededRandom(seed)
+    table = EndpointTable("a", me, nodes, 0.3, 80_000, 3.0, 250, progress, cross, split)
     parts = PolicyParts(
-        CutoffSearch(chance, nodes), fleet, TenantQuotas(tenants or {}, nodes), RetryBudget(*budget)
+        CutoffSearch(random, nodes), table, TenantQuotas(tenants or {}, nodes), RetryBudget(*budget)
     )
-    return Dispatcher(
-        chance,
-        parts,
-        ops,
-        50,
-        True,
-        Capabilities(cancels, starts, probes, asks),
-        RequestLimits(5, back, 1_000),
+    settings = DispatcherSettings(
+        operations=operations,
+        peer_operations=[*operations.values()],
+        scheduling_interval=50,
+        weighs_by_work=True,
+        capabilities=Capabilities(cancels, starts, probes, asks),
+        limits=RequestLimits(5, back, 1_000),
     )
+    return EventShorthands(random, parts, settings)
+
+
+class EventShorthands(Dispatcher):
+    """A dispatcher with a method an event, so that tests stay short."""
+
+    def taken(self, now, id, operation, tenant, due, hint, slots):
+        self.handle(now, RequestArrived(id, operation, tenant, due, hint, slots))
+        return self.requests[id]
+
+    def started(self, now, id, index, opened=False):
+        self.handle(now, AttemptStarted(id, index, opened))
+
+    def progressed(self, now, id, index):
+        self.handle(now, AttemptProgressed(id, index))
+
+    def ended(self, now, id, index, outcome, closed, free=None):
+        self.handle(now, AttemptEnded(id, index, outcome, closed, free))
+
+    def probed(self, now, id, outcome, free, held):
+        self.handle(now, ProbeAnswered(id, outcome, free, held))
+
+    def left(self, now, id):
+        self.handle(now, ClientLeft(id))
+
+    def listed(self, now, whole, rows):
+        self.handle(now, EndpointsChanged(whole, rows))
+
+    def unlisted(self, now):
+        self.handle(now, EndpointListUnavailable())
+
+    def heard(self, now, by, message):
+        self.handle(now, PeerMessageReceived(by, message))
 
 
 def rows(*ids, zone="a", state=HEALTHY, born=0):
-    return [(i, zone, "std", 0, state, born, 1) for i in ids]
+    return [EndpointRow(i, zone, "std", 0, state, born, 1) for i in ids]
 
 
 def pull(d, now, *kinds):
-    """All decisions of this instant, of the named kinds (all but wakes and notes when none is named)."""
+    """All actions of this instant, of the named types (all but wakes and notes when none is named)."""
     taken = []
-    while (decision := d.decide(now)) is not None:
-        taken.append(decision)
-    return [x for x in taken if (x[0] in kinds if kinds else x[0] not in ("wake", "note"))]
+    while (action := d.next_action(now)) is not None:
+        taken.append(action)
+    return [x for x in taken if (isinstance(x, kinds) if kinds else not isinstance(x, (WakeAt, Note)))]
 
 
 class Several:
-    """Nodes that hear each other's packed words after `delay`; `lost(by, to)`: which of them never arrive."""
+    """Nodes that get each other's datagrams after `delay`; `lost(by, to)`: which of them never arrive."""
 
     def __init__(self, nodes, rows_, lost=lambda by, to: False, delay=20, **more):
         self.all = [dispatcher(nodes=nodes, me=i, seed=i, split=1, **more) for i in range(nodes)]
@@ -88,19 +133,20 @@
             d.listed(10, True, rows_)
 
     def go(self, start, end=None, step=10):
-        """(now, node, decision) of all but words, in order."""
+        """(now, node, action) of all but peer messages, in order."""
         done = []
         for now in range(start, (end or start) + 1, step):
             late = [m for m in self.mail if m[0] > now]
             for _, by, to, body in [m for m in self.mail if m[0] <= now]:
-                words.deliver(self.all[to], now, by, body)
+                self.all[to].heard(now, by, peer_codec.decode(body))
             self.mail = late
             for by, d in enumerate(self.all):
-                for kind, *rest in pull(d, now):
-                    if kind != "tell":
-                        done.append((now, by, (kind, *rest)))
-                    elif not self.lost(by, rest[0]):
-                        self.mail.append((now + self.delay, by, rest[0], words.pack(*rest[1:])))
+                for action in pull(d, now):
+                    if not isinstance(action, SendPeerMessage):
+                        done.append((now, by, action))
+                    elif not self.lost(by, action.node):
+                        body = peer_codec.encode(action.message)
+                        self.mail.append((now + self.delay, by, action.node, body))
         return done
 
 
@@ -156,14 +202,32 @@
 
 
 class Told:
-    """In the module's place: keeps what it is told, decides nothing."""
+    """In the dispatcher's place: keeps the events that it gets, decides nothing.
+
+    `heard` has them as tuples: a name and the event's fields.
+    """
+
+    NAMES = {
+        RequestArrived: "taken",
+        AttemptStarted: "started",
+        AttemptProgressed: "progressed",
+        AttemptEnded: "ended",
+        ProbeAnswered: "probed",
+        ClientLeft: "left",
+        EndpointsChanged: "listed",
+        EndpointListUnavailable: "unlisted",
+        PeerMessageReceived: "heard",
+    }
 
     def __init__(self):
         self.heard = []
 
-    def decide(self, now):
+    def next_action(self, now):
         return None
 
+    def handle(self, now, event):
+        self.heard.append((self.NAMES[type(event)], *event))
+
     def __getattr__(self, name):
         return lambda now, *args: self.heard.append((name, *args))
 
@@ -214,7 +278,7 @@
     pool.wary = 0  # the clock stands still: no line cools down
     desk = Desk(told, turn, pool, turn.gauges, 5, 100, b"/alive", 5_000, 200, 50)
     door = Door(turn, {"op": 40_000}, desk.take, desk.news, desk.left, most, share, 60_000)
-    turn.decide, turn.carry = told.decide, desk.do
+    turn.decide, turn.carry = told.next_action, desk.do
     pool.listed(True, [(name, ("127.0.0.9", 1), HEALTHY, 0) for name in ("s-1", "s-2")])
     node = SimpleNamespace(loop=loop, told=told, turn=turn, pool=pool, desk=desk, door=door, lines=[])
     for endpoint in pool.endpoints.values():
@@ -223,7 +287,7 @@
     node.client = lambda: join(Client(door))
     node.hand_in = lambda: (say(node.client(), HAND_IN), loop.go())[0]
     node.forward = lambda name="s-1", allowed=9_000: (
-        desk.do(turn.clock(), ("forward", b"r1", name, allowed)),
+        desk.do(turn.clock(), Forward(b"r1", name, allowed)),
         loop.go(),
     )
     node.ends = lambda: [x[:5] for x in told.heard if x[0] == "ended"]
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -9,11 +9,12 @@
 from loguru import logger
 from test_service import EFFECTS, ROW, TERMS, Executor, free_port, one_answer, told
 
+from grebedyke.model.actions import Fail, Forward, Throttle
 from grebedyke.model.outcome import Effect, Outcome
 from grebedyke.policy.retry_budget import FOREVER, RetryBudget
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import assemble
-from grebedyke.service.switch import switch
+from grebedyke.service.reload import reload
 
 WINDOW = 50_000
 
@@ -42,19 +43,19 @@
 
 def test_no_further_forward_beyond_it_and_an_answer_at_once():
     for effect, word in (
-        (Effect.IDEMPOTENT, "throttle"),
-        (Effect.KEYED, "error"),
-        (Effect.NON_IDEMPOTENT, "throttle"),
+        (Effect.IDEMPOTENT, Throttle),
+        (Effect.KEYED, Fail),
+        (Effect.NON_IDEMPOTENT, Throttle),
     ):
         # A deduplicated one that may have run is not throttled where its group is a zone.
         outcome = Outcome.REJECTED if effect == Effect.NON_IDEMPOTENT else Outcome.TIMEOUT
         d = dispatcher(effect, budget=(1, 0, WINDOW), back=20_000)
         d.listed(10, True, rows(1, 2, 3, 4))
-        for now, id, wanted in ((20, 1, "forward"), (900, 2, word)):
+        for now, id, wanted in ((20, 1, Forward), (900, 2, word)):
             d.taken(now, id, "op", None, now + 50_000, 1_000, 1)
-            assert [x[0] for x in pull(d, now)] == ["forward"]
+            assert [type(x) for x in pull(d, now)] == [Forward]
             d.ended(now + 10, id, 0, outcome, False)
-            assert [x[0] for x in pull(d, now + 10)] == [wanted]
+            assert [type(x) for x in pull(d, now + 10)] == [wanted]
 
 
 def check(taken, sent, free, share, now):
@@ -81,10 +82,11 @@
         self.d.listed(10, True, rows(*range(6)))
 
     def pull(self):
-        for kind, *rest in pull(self.d, self.now):
-            if kind == "forward":
-                n = len(self.d.requests[rest[0]].attempts) - 1
-                self.out.append((rest[0], n))
+        for action in pull(self.d, self.now):
+            if isinstance(action, Forward):
+                id = action.request_id
+                n = len(self.d.requests[id].attempts) - 1
+                self.out.append((id, n))
                 if n:
                     self.sent.append(self.now)
                     if self.terms[2]:
@@ -118,13 +120,13 @@
         elif draw < 0.97:
             # New terms, shorter, longer, none or again some: what went before is in the window.
             self.terms = self.random.choice(((1, 0.1, WINDOW), (3, 0.3, WINDOW), (0, 0, 0)))
-            switch(self.now, self.d, dispatcher(budget=self.terms))
+            reload(self.now, self.d, dispatcher(budget=self.terms))
         elif draw < 0.98:
             # A new process: what is out ends at the old one, which sends nothing more.
             books, old = orjson.loads(orjson.dumps(self.d.retry_budget.books())), self.d
             for id, n in self.out:
                 old.ended(self.now, id, n, Outcome.REJECTED, False)
-            sent = {id for _, id, *_ in pull(old, self.now, "forward")}
+            sent = {x.request_id for x in pull(old, self.now, Forward)}
             assert not self.terms[2] or not any(len(old.requests[id].attempts) > 1 for id in sent)
             self.d, self.out = dispatcher(budget=self.terms), []
             self.d.listed(self.now, True, rows(*range(6)))
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,6 +1,6 @@
 """What cold executors get from all nodes together, beside N + 2 root N + 2; larger: `benchmarks.cold`.
 
-The turn in which nodes that are told at once begin is seen to in test_brain.py.
+The turn in which nodes that are told at once begin is seen to in test_policy.py.
 """
 
 from concurrent.futures import ProcessPoolExecutor
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -5,10 +5,13 @@
 from crossing import TERMS
 from helpers import HAND_IN, NOW, floor, pull, say
 
+from grebedyke.model.actions import Forward, Throttle
+from grebedyke.model.endpoint_list import EndpointRow
+from grebedyke.model.events import AttemptEnded, EndpointsChanged, RequestArrived
 from grebedyke.model.outcome import Outcome
 from grebedyke.service import configuration
 from grebedyke.service.assembly import paced, parts_of
-from grebedyke.service.switch import switch
+from grebedyke.service.reload import reload
 
 
 @pytest.mark.parametrize(
@@ -66,13 +69,14 @@
         "operations": [{**TERMS["operations"][0], "idempotency": "safe", "latencyObjectiveMs": 20_000}],
     }
     d = configuration.open_dispatcher("1", configuration.terms(orjson.loads(orjson.dumps(terms))))
-    d.listed(10, True, [(f"s-{i}", "a", "m", 0, "healthy", 0, 1) for i in range(3)])
-    d.taken(100, b"r1", "op", None, 80_100, 0, 1)
-    ((_, id, first, _),) = pull(d, 100, "forward")
-    switch(200, d, configuration.open_dispatcher("1", configuration.terms({**terms, "tickMs": 20})))
+    listed = [EndpointRow(f"s-{i}", "a", "m", 0, "healthy", 0, 1) for i in range(3)]
+    d.handle(10, EndpointsChanged(True, listed))
+    d.handle(100, RequestArrived(b"r1", "op", None, 80_100, 0, 1))
+    ((id, first, _),) = pull(d, 100, Forward)
+    reload(200, d, configuration.open_dispatcher("1", configuration.terms({**terms, "tickMs": 20})))
     over = 80_100 - 3 * 200
-    d.ended(over, id, 0, Outcome.TIMEOUT, False)
-    assert [x[0] for x in pull(d, over)] == ["throttle"]
+    d.handle(over, AttemptEnded(id, 0, Outcome.TIMEOUT, False))
+    assert [type(x) for x in pull(d, over)] == [Throttle]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -4,6 +4,8 @@
 
 from crossing import TERMS, Agent, Client, Executor, Place, until
 
+from grebedyke.model.actions import Cancel
+
 ENDLESS = b"HTTP/1.1 202 Accepted\r\nContent-Length: 1000\r\n\r\nand so"
 
 
@@ -74,7 +76,7 @@
             flight, asked, room = place.desk.owed[b"r1"].flights[0], [], pool.room
             pool.room = lambda: asked.append(1)
             place.desk.probe_wait = 300
-            place.desk.do(place.turn.clock(), ("cancel", b"r1", 0))
+            place.desk.do(place.turn.clock(), Cancel(b"r1", 0))
             await until(lambda: len(asked) > 2, "three tries")
             assert not flight.done and not executor.deleted
             pool.room = room
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -12,9 +12,11 @@
 import pytest
 from crossing import ROW, TERMS, Client, Executor, Place, until
 
+from grebedyke.model.actions import Forward
+from grebedyke.model.peer_messages import SlotGrant, SlotRequest
 from grebedyke.rate_limits import limiter
 from grebedyke.rate_limits.definitions import OPEN, Limit
-from grebedyke.wire import words
+from grebedyke.wire import peer_codec
 from grebedyke.wire.executors import Line
 
 LATE, PAST = 0.1, 0.16
@@ -147,7 +149,7 @@
         await until(lambda: time.monotonic() > end)
 
     def held(self):
-        return [inv.id for inv in self.dispatcher.queue if inv.queued]
+        return [inv.id for inv in self.dispatcher.queue.waiting if inv.queued]
 
     async def ends(self, id, state="done"):
         """Call-backs for whatever is out of this one."""
@@ -218,9 +220,13 @@
 async def waits_for_a_lender(number):
     async with Scene(number, limits={"peerMessages": True}, balancers=2) as scene:
         asks, fleet = {}, scene.dispatcher.endpoints
-        scene.place.desk.peers.send = lambda to, body: asks.update(
-            {words.unpack(body)[1]: words.unpack(body)} if words.unpack(body)[0] == "ask" else {}
-        )
+
+        def keep_asks(to, body):
+            message = peer_codec.decode(body)
+            if isinstance(message, SlotRequest):
+                asks[message.number] = message
+
+        scene.place.desk.peers.send = keep_asks
         fleet.keeper = lambda group, now, silent=False: 1
         clients = scene.clients(number)
         scene.hand_in(clients)
@@ -228,7 +234,7 @@
         scene.leave(clients)
         await scene.past()
         for number, ask in asks.items():
-            scene.place.turn.put(scene.place.desk.heard, 1, words.pack("lend", number, ask[2]))
+            scene.place.turn.put(scene.place.desk.heard, 1, peer_codec.encode(SlotGrant(number, ask.rank)))
         await until(lambda: not scene.place.turn.inbox)
         fleet.keeper = lambda group, now, silent=False: 0
         return await scene.finish()
@@ -250,7 +256,7 @@
             for e in executors:
                 e.ejected_until = 1 << 60
             await until(
-                lambda: len([i for i in scene.dispatcher.queue if i.queued and i.attempts]) == number,
+                lambda: len([i for i in scene.dispatcher.queue.waiting if i.queued and i.attempts]) == number,
                 "that they are held again",
             )
             scene.recorder.answer = lambda id: ACCEPTED
@@ -319,7 +325,9 @@
                 for e in d.endpoints.by_id.values():
                     e.ejected_until = scene.place.turn.clock() + 4_000
                 recorder.may_end.set()
-                await until(lambda: len([i for i in d.queue if i.queued and i.tier]) == number, "tier one")
+                await until(
+                    lambda: sum(bool(i.queued and i.tier) for i in d.queue.waiting) == number, "tier one"
+                )
             scene.leave(clients)
             await scene.past()
             recorder.may_end.set()
@@ -412,7 +420,7 @@
         async with Scene(number + 3) as scene:
             await scene.another(b"z0")
             desk, clients, others, turns = scene.place.desk, scene.clients(number), [], list(lengths)
-            forward = desk.deeds["forward"]
+            forward = desk.carriers[Forward]
 
             def slow(now, *what):
                 forward(now, *what)
@@ -424,7 +432,7 @@
                     if turns:
                         others.append(Client(scene.place.address).hand_in("y%d" % (len(others) + 1)))
 
-            desk.deeds["forward"] = slow
+            desk.carriers[Forward] = slow
             await until(lambda: len(scene.place.door.clients) >= number)
             scene.hand_in(clients)
             await until(lambda: not turns, "the turns")
@@ -444,7 +452,7 @@
     async with Scene(number) as scene:
         await scene.another(b"z0")
         desk, clients, done = scene.place.desk, scene.clients(number), []
-        forward = desk.deeds["forward"]
+        forward = desk.carriers[Forward]
 
         def slow(now, *what):
             forward(now, *what)
@@ -452,7 +460,7 @@
                 done.append(what)
                 time.sleep(0.07)
 
-        desk.deeds["forward"] = slow
+        desk.carriers[Forward] = slow
         await until(lambda: len(scene.place.door.clients) >= number)
         scene.no_stall()
         scene.hand_in(clients)
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -7,6 +7,9 @@
 import pytest
 from crossing import Client, Executor, Place, until
 
+from grebedyke.model.actions import Forward, Throttle
+from grebedyke.model.events import ClientLeft
+
 
 def gone(place, id=b"r1"):
     """The node knows that this one's client has left."""
@@ -82,8 +85,8 @@
             client = Client(place.address).hand_in()
             await waits_for_its_line(place, client)
             if how == "throttle":
-                place.desk.do(place.turn.clock(), ("throttle", b"r1", 0))
-                place.desk.dispatcher.left(place.turn.clock(), b"r1")
+                place.desk.do(place.turn.clock(), Throttle(b"r1", 0))
+                place.desk.dispatcher.handle(place.turn.clock(), ClientLeft(b"r1"))
             else:
                 place.desk.overslept(place.turn.clock(), place.desk.owed[b"r1"])
             place.turn.hurry()
@@ -166,7 +169,7 @@
         async with Place(executor.row()) as place:
             if not opens:
                 await one_before(place, executor)
-            client, forward, long = Client(place.address), place.desk.deeds["forward"], []
+            client, forward, long = Client(place.address), place.desk.carriers[Forward], []
 
             def forward_long(now, *what):
                 forward(now, *what)
@@ -175,7 +178,7 @@
                     client.leave()
                     time.sleep(0.35)  # the turn's own length
 
-            place.desk.deeds["forward"] = forward_long
+            place.desk.carriers[Forward] = forward_long
             client.hand_in()
             await until(lambda: long and gone(place), "that the client has left")
             await place.serves_another(executor)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,6 +12,7 @@
 from grebedyke.errors import ConfigurationError
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
+from grebedyke.model.actions import Forward, Throttle
 from grebedyke.model.outcome import Effect, Outcome
 from grebedyke.rate_limits import allocation, limiter
 from grebedyke.rate_limits.component import RateLimits
@@ -174,30 +175,43 @@
     assert one.state(100_000)["asked_ms_ago"] == 9_200
 
 
+def first_of(d, now):
+    """The first forward or throttle: its type and its request."""
+    first = pull(d, now, Forward, Throttle)[0]
+    return type(first), first.request_id
+
+
+def throttled(d, now):
+    """All throttles, where nothing is forwarded."""
+    found = pull(d, now, Forward, Throttle)
+    assert all(isinstance(x, Throttle) for x in found)
+    return found
+
+
 def test_what_is_over_is_throttled_at_once_and_a_slot_outlasts_its_client():
     d = dispatcher(effect=Effect.IDEMPOTENT, back=20_000)
     d.listed(10, True, rows("e1", "e2"))
     limits = [Limit("pay", OPEN, 1, 0, 1, None, "op", False)]
     d.quotas.limits = limiter.Gate(limits, 1, 0.0, 0, 8_000, -100_000)
     d.taken(100, "first", "op", "t", 50_000, 0, 1)
-    assert pull(d, 100, "forward", "throttle")[0][:2] == ("forward", "first")
+    assert first_of(d, 100) == (Forward, "first")
     d.taken(200, "second", "op", "t", 50_000, 0, 1)
-    assert pull(d, 200, "forward", "throttle") == [("throttle", "second", 2_500)]
+    assert throttled(d, 200) == [Throttle("second", 2_500)]
     # Its client leaves; the work goes on, and so does its slot.
     d.left(300, "first")
     d.taken(400, "third", "op", "t", 50_000, 0, 1)
-    assert pull(d, 400, "forward", "throttle") == [("throttle", "third", 2_500)]
+    assert throttled(d, 400) == [Throttle("third", 2_500)]
     d.ended(500, "first", 0, Outcome.SUCCEEDED, True)
     d.taken(600, "fourth", "op", "t", 50_000, 0, 1)
-    assert pull(d, 600, "forward", "throttle")[0][:2] == ("forward", "fourth")
+    assert first_of(d, 600) == (Forward, "fourth")
     # Further forwards have a limit of their own: without one left an invocation is given up at once.
     again = Limit("again", RATE, 1_000, 1, 1_000, None, "op", False, True)
     d.quotas.limits = limiter.Gate([again], 1, 0.0, 0, 8_000, 0)
     d.taken(20_000, "fifth", "op", "t", 70_000, 0, 1)
     for now, n in ((20_000, 0), (20_100, 1)):
-        assert pull(d, now, "forward", "throttle")[0][:2] == ("forward", "fifth")
+        assert first_of(d, now) == (Forward, "fifth")
         d.ended(now + 50, "fifth", n, Outcome.NEVER_SENT, False)
-    assert pull(d, 20_200, "forward", "throttle")[0][:2] == ("throttle", "fifth")
+    assert first_of(d, 20_200) == (Throttle, "fifth")
     # A soft one only marks what is over: it comes behind the rest.
     d.quotas.limits = limiter.Gate([limits[0]._replace(soft=True, size=1)], 1, 0.0, 0, 8_000, -100_000)
     soft = [d.taken(700 + i, f"soft{i}", "op", "t", 50_000, 0, 1).over_quota for i in range(2)]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -205,7 +205,8 @@
         (
             PAY,
             {f"s-{i}": "reset%30" for i in range(4)},
-            "from grebedyke.policy.dispatcher import Dispatcher; Dispatcher.allowed = lambda *x: True",
+            "from grebedyke.policy.retry_eligibility import RetryEligibility\n"
+            "RetryEligibility.is_allowed = lambda *x: True",
             False,
             2,
             "took effect 2",
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,5 +1,6 @@
 from helpers import HAND_IN, NOW, dispatcher, floor, join, pull, rows, say
 
+from grebedyke.model.actions import Forward
 from grebedyke.model.outcome import Outcome
 from grebedyke.service.console import PATIENCE, Caller, Console
 
@@ -79,30 +80,30 @@
 
     def goes_to(now):
         d.taken(now, f"r{now}", "op", None, now + 40_000, 500, 1)
-        sent = pull(d, now, "forward")
-        for _, id, _, _ in sent:
+        sent = pull(d, now, Forward)
+        for id, _, _ in sent:
             d.ended(now, id, 0, Outcome.SUCCEEDED, True)
-        return {executor for _, _, executor, _ in sent}
+        return {executor for _, executor, _ in sent}
 
-    assert not d.by_hand(15, "s-3", True) and d.by_hand(20, "s-1", True)
+    assert not d.set_banned(15, "s-3", True) and d.set_banned(20, "s-1", True)
     for i, told in enumerate(
         (rows("s-1"), rows("s-1", state="draining"), rows("s-1", state="gone"), rows("s-1", born=900))
     ):
         d.listed(1_000 + i, False, told)
         assert all(goes_to(1_000 * i + n) == {"s-2"} for n in range(1_100, 1_120))
     d.listed(5_000, True, rows("s-1", "s-2"))
-    assert d.by_hand(5_010, "s-1", True) and goes_to(5_020) == {"s-2"}
+    assert d.set_banned(5_010, "s-1", True) and goes_to(5_020) == {"s-2"}
     # What was asked before the call, and what another node lends after it, are no way round either.
     e = d.endpoints.by_id["s-1"]
     assert not d.endpoints.ready(e, 5_030)
     # One call back undoes both.
-    assert d.by_hand(6_000, "s-1", False) and {x for n in range(99) for x in goes_to(90_000 + 50 * n)} == {
+    assert d.set_banned(6_000, "s-1", False) and {x for n in range(99) for x in goes_to(90_000 + 50 * n)} == {
         "s-1",
         "s-2",
     }
     # Of one that the list does not have for the moment the call is kept.
     d.listed(99_000, False, rows("s-1", state="gone"))
-    assert d.by_hand(99_010, "s-1", True)
+    assert d.set_banned(99_010, "s-1", True)
     d.listed(99_020, False, rows("s-1"))
     assert goes_to(99_030) == {"s-2"}
 
@@ -114,10 +115,10 @@
         d.listed(10, True, rows("s-1", "s-2", born=5))
         e = d.endpoints.by_id["s-1"]
         e.credit, e.consecutive_failures, e.ejected_until = 9.0, 3, 80_000
-        assert d.by_hand(20, "s-1", True)
+        assert d.set_banned(20, "s-1", True)
         if told is not None:
             d.listed(4_000, True, rows("s-1", "s-2", born=told))
-        assert d.by_hand(6_000, "s-1", False)
+        assert d.set_banned(6_000, "s-1", False)
         assert (
             e.started_at == born
             and d.endpoints.warmth(e, born) == 0.3
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -14,6 +14,7 @@
 from helpers import HAND_IN, dispatcher, floor, news, say
 from test_signals import program, told
 
+from grebedyke.model.endpoint_list import EndpointRow
 from grebedyke.service import node
 from grebedyke.wire.discovery import entries
 
@@ -203,7 +204,7 @@
     # The version counts as had, so what fails in the module would never be told again.
     d = dispatcher()
     rows = entries({"endpoints": [{**DRAINING, "name": "s-2", "status": "Ready", **odd}, DRAINING]})
-    d.listed(10, True, [(name, *more) for name, _, *more in rows])
+    d.listed(10, True, [EndpointRow(name, *more) for name, _, *more in rows])
     assert d.endpoints.by_id["s-1"].state == "draining"
 
 
--- a/tests/test_brain.py
+++ b/tests/test_policy.py
@@ -8,34 +8,44 @@
 import orjson
 from helpers import Several, dispatcher, operation, pull, rows
 
+from grebedyke.model.actions import Cancel, Fail, Forward, PollEndpointList, Probe, SendPeerMessage, Throttle
 from grebedyke.model.outcome import Effect, Outcome
+from grebedyke.model.peer_messages import (
+    SlotDenial,
+    SlotGrant,
+    SlotProgressed,
+    SlotReleased,
+    SlotRequest,
+    SlotStarted,
+)
 from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.policy.cutoff_search import CutoffSearch
 from grebedyke.policy.tenant_quotas import TenantQuotas
-from grebedyke.wire import words
+from grebedyke.wire import peer_codec
 
 
 def test_again_or_throttled_only_as_the_operation_allows():
     cases = [  # effect, group, outcome, the other executor's zone, what follows at once, what too late
-        (Effect.IDEMPOTENT, "zone", Outcome.TIMEOUT, "b", "forward", "throttle"),
-        (Effect.NON_IDEMPOTENT, "all", Outcome.REJECTED, "b", "forward", "throttle"),
-        (Effect.NON_IDEMPOTENT, "all", Outcome.CONNECT_FAILED, "b", "forward", "throttle"),
-        (Effect.NON_IDEMPOTENT, "all", Outcome.FAILED, "b", "error", "error"),
-        (Effect.NON_IDEMPOTENT, "all", Outcome.TIMEOUT, "b", "error", "error"),
-        (Effect.KEYED, "zone", Outcome.TIMEOUT, "a", "forward", "error"),
-        (Effect.KEYED, "zone", Outcome.TIMEOUT, "b", "", "error"),  # the first executor may come back in time
-        (Effect.KEYED, "all", Outcome.TIMEOUT, "b", "forward", "throttle"),
-        (Effect.KEYED, "zone", Outcome.REJECTED, "b", "forward", "throttle"),
+        (Effect.IDEMPOTENT, "zone", Outcome.TIMEOUT, "b", Forward, Throttle),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.REJECTED, "b", Forward, Throttle),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.CONNECT_FAILED, "b", Forward, Throttle),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.FAILED, "b", Fail, Fail),
+        (Effect.NON_IDEMPOTENT, "all", Outcome.TIMEOUT, "b", Fail, Fail),
+        (Effect.KEYED, "zone", Outcome.TIMEOUT, "a", Forward, Fail),
+        (Effect.KEYED, "zone", Outcome.TIMEOUT, "b", "", Fail),  # the first executor may come back in time
+        (Effect.KEYED, "all", Outcome.TIMEOUT, "b", Forward, Throttle),
+        (Effect.KEYED, "zone", Outcome.REJECTED, "b", Forward, Throttle),
     ]
     for effect, group, outcome, zone, soon, late in cases:
         for wait, wanted in ((100, soon), (40_000, late)):
             d = dispatcher(effect, group)
             d.listed(10, True, rows(1))
             d.taken(10, 5, "op", None, 50_000, 1_000, 1)
-            assert pull(d, 10)[0][:3] == ("forward", 5, 1)
+            first = pull(d, 10)[0]
+            assert isinstance(first, Forward) and first[:2] == (5, 1)
             d.listed(20, False, rows(2, zone=zone))
             d.ended(10 + wait, 5, 0, outcome, False)
-            kinds = [x[0] for x in pull(d, 10 + wait)]
+            kinds = [type(x) for x in pull(d, 10 + wait)]
             assert kinds == ([wanted] if wanted else []), (effect, group, outcome, zone, wait, kinds)
 
 
@@ -45,7 +55,7 @@
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
     pull(d, 10)
     d.ended(700, 5, 0, Outcome.TIMEOUT, False)
-    assert [x[0] for x in pull(d, 700)] != ["forward"]
+    assert [type(x) for x in pull(d, 700)] != [Forward]
 
 
 def test_one_final_answer_and_nothing_after_it():
@@ -54,7 +64,7 @@
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
     assert pull(d, 10) == []
     answers = [x for t in range(100, 60_000, 100) for x in pull(d, t)]
-    assert [x[:2] for x in answers] == [("throttle", 5)] and answers[0][2] > 0
+    assert [(type(x), x.request_id) for x in answers] == [(Throttle, 5)] and answers[0].retry_after > 0
     d.listed(60_000, True, rows(1))
     assert pull(d, 60_000) == []
 
@@ -66,7 +76,7 @@
         d.listed(20, *change)
         for i in range(8):
             d.taken(30, i, "op", None, 50_000, 1_000, 1)
-        assert {x[2] for x in pull(d, 30, "forward")} == {2}
+        assert {x.endpoint_id for x in pull(d, 30, Forward)} == {2}
 
 
 def test_nodes_take_turns_at_a_cold_executor():
@@ -77,7 +87,7 @@
             d.listed(now, True, rows(1, born=10_000))
             for i in range(9):
                 d.taken(now, i, "op", None, now + 50_000, 1_000, 1)
-            sent = len(pull(d, now, "forward"))
+            sent = len(pull(d, now, Forward))
             assert sent <= 1
             senders += sent
         assert senders == 1
@@ -90,19 +100,19 @@
     pull(d, 10)
     d.ended(20, 5, 0, Outcome.REJECTED, False)
     assert pull(d, 20) == [] and pull(d, 10_000) == []
-    assert [x[0] for x in pull(d, 10_030)] == ["forward"]
+    assert [type(x) for x in pull(d, 10_030)] == [Forward]
 
 
 def test_an_executor_that_turns_one_operation_away_gets_the_others():
     d = dispatcher()  # guards against a partial fault that takes whole executors out
-    d.operations["other"] = operation("other")
+    d.context.settings.operations["other"] = operation("other")
     d.listed(10, True, rows(1))
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
     pull(d, 10)
     d.ended(20, 5, 0, Outcome.REJECTED, True)
     d.taken(20, 6, "op", None, 50_020, 1_000, 1)
     d.taken(20, 7, "other", None, 50_020, 1_000, 1)
-    assert [x[1] for x in pull(d, 20, "forward")] == [7]
+    assert [x.request_id for x in pull(d, 20, Forward)] == [7]
     d.started(30, 7, 0)
     # All turned away: it is full indeed.
     for now, op, credit in ((11_000, "op", 3.0), (11_010, "other", 1.0)):
@@ -117,36 +127,36 @@
     d = dispatcher()  # guards against stacking work at an executor that does not start what it has
     d.listed(10, True, rows(1))
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
-    assert len(pull(d, 10, "forward")) == 1
+    assert len(pull(d, 10, Forward)) == 1
     d.taken(1_000, 6, "op", None, 50_000, 1_000, 1)
-    assert pull(d, 1_000, "forward") == []
+    assert pull(d, 1_000, Forward) == []
     d.started(1_100, 5, 0)
-    assert len(pull(d, 1_100, "forward")) == 1
+    assert len(pull(d, 1_100, Forward)) == 1
 
 
 def test_a_repeat_has_only_the_slack_of_its_first_try():
     d = dispatcher()  # guards against work that a client's retry asks for and that can only end late
     d.listed(10, True, rows(1))
     d.taken(10, 5, "op", None, 50_010, 1_000, 1)
-    assert [x[0] for x in pull(d, 10)] == ["forward"]
+    assert [type(x) for x in pull(d, 10)] == [Forward]
     d.taken(20_000, 6, "op", None, 50_010, 1_000, 1)
-    assert [x[0] for x in pull(d, 20_000)] == ["throttle"]
+    assert [type(x) for x in pull(d, 20_000)] == [Throttle]
 
 
 def test_a_client_with_little_time_left_is_answered_at_once():
     # Sent while its size fitted, such work ended as errored in a full fleet and pushed others into lateness:
     # 637 of 5,000 forwards timed out at 200 nodes, 7 without that (join+mass 0.59 and 0.69).
     for left, size, what in (
-        (49_000, 1_000, "forward"),
-        (30_000, 1_000, "throttle"),
-        (4_000, 1_000, "throttle"),
-        (4_000, 9_000, "throttle"),
+        (49_000, 1_000, Forward),
+        (30_000, 1_000, Throttle),
+        (4_000, 1_000, Throttle),
+        (4_000, 9_000, Throttle),
     ):
         d = dispatcher()
         d.listed(10, True, rows(1))
-        d.operations["op"].longest_timeout = 50_000
+        d.context.settings.operations["op"].longest_timeout = 50_000
         d.taken(10, 5, "op", None, 10 + left, size, 1)
-        assert [x[0] for x in pull(d, 10)] == [what], (left, size)
+        assert [type(x) for x in pull(d, 10)] == [what], (left, size)
 
 
 def test_late_starts_cost_credit_and_then_a_rest():
@@ -157,7 +167,7 @@
         for i, wait in enumerate((10, late, late)):
             now = 1_000 + 6_000 * i
             d.taken(now, i, "op", None, now + 49_000, 1_000, 1)
-            assert len(pull(d, now, "forward")) == 1
+            assert len(pull(d, now, Forward)) == 1
             d.started(now + wait, i, 0)
             d.ended(now + wait + 500, i, 0, "ok", True)
         e = d.endpoints.by_id[1]
@@ -182,7 +192,7 @@
         for i in range(8):
             now = 1_000 + 6_000 * i
             d.taken(now, i, "op", None, now + 49_000, 1_000, 1)
-            assert len(pull(d, now, "forward")) == 1
+            assert len(pull(d, now, Forward)) == 1
             d.started(now + (1_000 if i % 2 else 10), i, 0, opened and i % 2 == 1)
             d.ended(now + 2_000, i, 0, "ok", True)
             d.endpoints.by_id[1].ejected_until = 0
@@ -202,7 +212,7 @@
         for i, outcome in enumerate(outcomes):
             now = 1_000 + 20_000 * i
             d.taken(now, i, "op", None, now + 49_000, 1_000, 1)
-            assert len(pull(d, now, "forward")) == 1
+            assert len(pull(d, now, Forward)) == 1
             d.ended(now + 50, i, 0, outcome, True)
         e = d.endpoints.by_id[1]
         assert (e.ejected_until > now + 50) == off == (e.credit == 1.0), outcomes
@@ -210,11 +220,13 @@
 
 def test_without_start_notes_work_does_not_pass_for_waiting():
     d = dispatcher()  # guards against holding all work back where nothing tells that a job has begun
-    d.capabilities = d.capabilities._replace(start_notices=False)
+    settings = d.context.settings
+    capabilities = settings.capabilities._replace(start_notices=False)
+    d.context.settings = settings._replace(capabilities=capabilities)
     d.listed(10, True, rows(1))
     for i, now in enumerate((10, 1_000)):
         d.taken(now, i, "op", None, 50_000, 1_000, 1)
-        assert len(pull(d, now, "forward")) == 1
+        assert len(pull(d, now, Forward)) == 1
 
 
 def test_trial_cuts_are_few_until_their_effect_is_known():
@@ -225,20 +237,20 @@
         e.credit = 40.0
     for i in range(40):
         d.taken(10, i, "op", None, 90_000, 1_000, 1)
-    sent = pull(d, 10, "forward")
-    for _, id, _, _ in sent[:20]:
+    sent = pull(d, 10, Forward)
+    for id, _, _ in sent[:20]:
         d.started(20, id, 0)
-    assert 0 < len(pull(d, 700, "cancel")) <= 4
+    assert 0 < len(pull(d, 700, Cancel)) <= 4
 
 
 def test_small_work_does_not_pay_for_another_zone():
     for size, crosses in ((400, False), (9_000, True)):  # guards against crossing for less than it costs
         d = dispatcher(cross=0.13)
-        d.operations["op"].mean_work = 4_000.0
+        d.context.settings.operations["op"].mean_work = 4_000.0
         d.listed(10, True, rows(1, zone="b"))
         d.taken(10, 5, "op", None, 50_000, size, 1)
-        kinds = {x[0] for now in range(10, 20_000, 100) for x in pull(d, now)}
-        assert ("forward" in kinds) == crosses
+        kinds = {type(x) for now in range(10, 20_000, 100) for x in pull(d, now)}
+        assert (Forward in kinds) == crosses
 
 
 def test_an_executor_that_errors_at_once_draws_no_more_work():
@@ -249,7 +261,7 @@
     d.listed(10, True, rows(1))
     for i in range(100):
         d.taken(10 + 200 * i, i, "op", None, 90_000, 1_000, 1)
-        for _, id, _, _ in pull(d, 10 + 200 * i, "forward"):
+        for id, _, _ in pull(d, 10 + 200 * i, Forward):
             sent += 1
             d.started(20 + 200 * i, id, 0)
             d.ended(30 + 200 * i, id, 0, Outcome.FAILED, False)
@@ -261,7 +273,7 @@
     d.listed(10, True, rows(*range(300)))
     d.endpoints.ready = lambda e, now: asked.append(e) or True
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
-    assert len(pull(d, 10, "forward")) == 1 and len(asked) < 40
+    assert len(pull(d, 10, Forward)) == 1 and len(asked) < 40
 
 
 def test_newest_first():
@@ -270,7 +282,7 @@
     for i in range(3):
         d.taken(10 + i, i, "op", None, 50_000, 1_000, 1)
     d.listed(20, True, rows(1))
-    assert [x[1] for x in pull(d, 20, "forward")] == [2, 1]
+    assert [x.request_id for x in pull(d, 20, Forward)] == [2, 1]
 
 
 def test_cut_restarts_a_tier_up_only_after_the_cancelled_outcome():
@@ -280,12 +292,15 @@
     d.endpoints.assign_tiers(0.5)
     low = {e.id for e in d.endpoints.healthy if e.tier == 0}
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
-    first = pull(d, 10, "forward")[0][2]
+    first = pull(d, 10, Forward)[0].endpoint_id
     assert first in low
     d.started(20, 5, 0)
-    assert pull(d, 500) == [] and pull(d, 530) == [("cancel", 5, 0)] and pull(d, 600) == []
+    assert pull(d, 500) == []
+    cuts = pull(d, 530)
+    assert cuts == [Cancel(5, 0)] and isinstance(cuts[0], Cancel)
+    assert pull(d, 600) == []
     d.ended(610, 5, 0, Outcome.CANCELLED, False)
-    again = pull(d, 610, "forward")
+    again = pull(d, 610, Forward)
     assert len(again) == 1 and again[0][2] not in low and d.cutoffs.capped
 
 
@@ -342,7 +357,7 @@
     now, gaps = 10, []
     for _ in range(4):
         start = now
-        while not pull(d, now, "follow"):
+        while not pull(d, now, PollEndpointList):
             now += 100
         gaps.append(now - start)
         d.unlisted(now)
@@ -354,11 +369,11 @@
     for seed in range(40):
         d = dispatcher(asks=True, nodes=40, seed=seed)
         d.unlisted(0)
-        first.append(next(now for now in range(0, 200_000, 100) if pull(d, now, "follow")))
+        first.append(next(now for now in range(0, 200_000, 100) if pull(d, now, PollEndpointList)))
     assert max(first) <= 2 * 10_000 + 100 and max(first.count(at) for at in first) < 5
     for _ in range(3):
         d.unlisted(0)
-    latest = max(d.ask_at for _ in range(9) if d.unlisted(0) is None)
+    latest = max(d.list_polling.poll_at for _ in range(9) if d.unlisted(0) is None)
     assert d.endpoints.nodes * 500 < latest <= 8 * 2 * 10_000 + 1
 
 
@@ -377,7 +392,7 @@
         ).stdout
         for h in "012"
     }
-    assert len(seen) == 1 and b"forward" in seen.pop()
+    assert len(seen) == 1 and b"Forward(" in seen.pop()
 
 
 def test_where_own_answers_are_thin_one_is_asked_and_passed_over_when_full():
@@ -385,10 +400,10 @@
         d = dispatcher(nodes=200, probes=True)  # guards against hundreds of nodes that send blindly
         d.listed(10, True, rows(1, 2, 3, 4))
         d.taken(10, 5, "op", None, 50_000, 1_000, 1)
-        asked = [x[1] for x in pull(d, 10, "probe")]
+        asked = [x.endpoint_id for x in pull(d, 10, Probe)]
         assert len(asked) == 1 and not pull(d, 15)
         d.probed(20, asked[0], "ok", *report)
-        assert [x[2] for x in pull(d, 20, "forward")] == asked * taken
+        assert [x.endpoint_id for x in pull(d, 20, Forward)] == asked * taken
 
 
 def test_when_all_asked_are_full_the_answer_comes_soon():
@@ -399,10 +414,10 @@
     seen = {}
     for now in range(10, 400, 10):
         for x in pull(d, now):
-            seen.setdefault(x[0], now)
-            if x[0] == "probe":
-                d.probed(now, x[1], "ok", 0, 90)
-    assert set(seen) == {"probe", "throttle"}
+            seen.setdefault(type(x), now)
+            if isinstance(x, Probe):
+                d.probed(now, x.endpoint_id, "ok", 0, 90)
+    assert set(seen) == {Probe, Throttle}
 
 
 def test_late_starts_at_home_send_a_part_abroad():
@@ -426,7 +441,7 @@
                 2
             ].probe_sent_at = 0
             d.taken(now, i, "op", None, now + 50_000, 1_000, 1)
-            abroad += pull(d, now, "probe") == [("probe", 2)]
+            abroad += pull(d, now, Probe) == [Probe(2)]
             d.left(now, i)
         assert (abroad > 20) == more
 
@@ -438,9 +453,9 @@
         d.endpoints.late[0], d.endpoints.slots = late, {"std": 4}
         d.taken(10, 5, "op", None, 50_000, 1_000, 1)
         for _ in range(asked):
-            ((_, id),) = pull(d, 20, "probe")
+            ((id,),) = pull(d, 20, Probe)
             d.probed(20, id, "ok", 0, 90)
-        assert [x[0] for x in pull(d, 20)] == ["throttle"]
+        assert [type(x) for x in pull(d, 20)] == [Throttle]
 
 
 def test_a_short_reported_queue_is_worked_off_before_the_work_arrives():
@@ -450,9 +465,9 @@
         d.listed(10, True, rows(1))
         d.endpoints.slots["std"] = 4
         d.taken(10, 5, "op", None, 50_000, 4_000, 1)
-        probes = pull(d, 10, "probe") or pull(d, 10, "probe")
-        d.probed(20, probes[0][1], "ok", 0, held)
-        assert bool(pull(d, 20, "forward")) == taken
+        probes = pull(d, 10, Probe) or pull(d, 10, Probe)
+        d.probed(20, probes[0].endpoint_id, "ok", 0, held)
+        assert bool(pull(d, 20, Forward)) == taken
 
 
 def test_a_free_slot_before_a_queue_is_not_taken_for_room():
@@ -478,17 +493,17 @@
             d.listed(10, True, rows(*range(8)))
             d.endpoints.told, d.endpoints.slots = at_once, {"std": 4.0}
             d.taken(10, 5, "op", None, 50_010, 1_000, 1)
-            (first,) = [x[1] for x in pull(d, 10, "probe")]
+            (first,) = [x.endpoint_id for x in pull(d, 10, Probe)]
             d.probed(20, first, "ok", 0.0, 5.0)
             decided = pull(d, 20)
-            if decided[0][0] == "probe":
+            if isinstance(decided[0], Probe):
                 asked += 1
-                other = decided[0][1]
+                other = decided[0].endpoint_id
                 assert pull(d, 25) == []  # its answer is waited for
                 d.probed(30, other, "ok", 2.0, 2.0)
                 decided = pull(d, 30)
-                assert decided[0][2] == other
-            assert decided[0][0] == "forward"
+                assert decided[0].endpoint_id == other
+            assert isinstance(decided[0], Forward)
         assert (asked == 20) == asks and (asked > 0) == asks
 
 
@@ -523,7 +538,7 @@
         for e in d.endpoints.healthy:
             e.ejected_until, e.last_heard_at = (0 if e.id == 1 else 10**9), 99_999
         d.taken(100_000, 5, "op", None, 150_000, 1_000, 1)
-        sent += any(pull(d, now, "probe") for now in range(100_000, 101_000, 100))
+        sent += any(pull(d, now, Probe) for now in range(100_000, 101_000, 100))
     assert sent < 200 * 3 / 20
 
 
@@ -543,7 +558,7 @@
 def test_what_late_starts_taught_is_forgotten_when_nothing_is_sent_any_more():
     # Over an invocation's slack it lets none go, and only starts change it: a node throttled all that came
     # for the rest of a day, while each report had slots free and its neighbours' work began at once.
-    for still, end in ((0, "throttle"), (0.9, "throttle"), (4, "forward"), (60, "forward")):
+    for still, end in ((0, Throttle), (0.9, Throttle), (4, Forward), (60, Forward)):
         d, done = dispatcher(nodes=6, probes=True), []
         d.listed(10, True, rows(*range(12)))
         for i in range(12):
@@ -560,11 +575,11 @@
         start = 112_000 + int(still * 10_000)
         d.taken(start, 5, "op", None, start + 50_000, 1_000, 1)
         for now in range(start, start + 4_000, 10):
-            for kind, *rest in pull(d, now):
-                done.append(kind)
-                if kind == "probe":
-                    d.probed(now, rest[0], "ok", 4.0, 0.0)
-        assert "probe" in done and end in done, (still, done)
+            for action in pull(d, now):
+                done.append(type(action))
+                if isinstance(action, Probe):
+                    d.probed(now, action.endpoint_id, "ok", 4.0, 0.0)
+        assert Probe in done and end in done, (still, done)
 
 
 def test_many_young_executors_get_their_budget_from_all_nodes_together_and_no_more():
@@ -584,9 +599,9 @@
             for i in range(40):  # ten a second and node, from 2 s of the young ones' age on
                 now = 120_000 + i * 1_000
                 d.taken(now, i, "op", None, now + 50_000, 1_000, 1)
-                for _, id in pull(d, now, "probe"):
+                for (id,) in pull(d, now, Probe):
                     d.probed(now, id, "ok", 4, 1)
-                for _, inv, id, _ in pull(d, now, "forward"):
+                for inv, id, _ in pull(d, now, Forward):
                     if id in young:
                         sent[id, now // 10_000] = sent.get((id, now // 10_000), 0) + 1
                     d.started(now, inv, 0)
@@ -598,7 +613,7 @@
 
 
 def forwards(done):
-    return [(by, x[1], x[2]) for _, by, x in done if x[0] == "forward"]
+    return [(by, x.request_id, x.endpoint_id) for _, by, x in done if isinstance(x, Forward)]
 
 
 def test_nodes_together_send_an_executor_no_more_than_its_credit():
@@ -665,43 +680,45 @@
     d.listed(10, True, rows(1, 2))
     d.endpoints.keeper = lambda group, now, silent=False: 0
     rank = d.endpoints.healthy[0].rank
-    plain = ("ask", 7, rank, 40_000, 1_000, 0, 1, 0, 0, 0, 0)
-    for by, word in (
+    plain = SlotRequest(7, rank, 40_000, 1_000, 0, 1, 0, 0, 0, 0)
+    for by, message in (
         (1, plain),
         (1, plain),
         (9, plain),
         (-1, plain),
         (0, plain),
-        (2, ("ask", 7, 99, *plain[3:])),
-        (2, (*plain[:8], 200, 0, 0)),
-        (2, ("ask", 8, rank, 2**32 - 1, 2**32 - 1, 255, 255, 255, 0, 255, 1)),
-        (3, ("lend", 7, rank)),
-        (3, ("lend", 7, 5)),
-        (3, ("none", 7, True)),
-        (3, ("began", 7, 2**32 - 1, True)),
-        (3, ("news", 7)),
-        (3, ("end", 7, Outcome.SUCCEEDED, 25.0)),
-        (3, ("end", 7, Outcome.FAILED, None)),
+        (2, plain._replace(rank=99)),
+        (2, plain._replace(operation=200)),
+        (2, SlotRequest(8, rank, 2**32 - 1, 2**32 - 1, 255, 255, 255, 0, 255, 1)),
+        (3, SlotGrant(7, rank)),
+        (3, SlotGrant(7, 5)),
+        (3, SlotDenial(7, True)),
+        (3, SlotStarted(7, 2**32 - 1, True)),
+        (3, SlotProgressed(7)),
+        (3, SlotReleased(7, Outcome.SUCCEEDED, 25.0)),
+        (3, SlotReleased(7, Outcome.FAILED, None)),
     ):
-        words.deliver(d, 20, by, words.pack(*word))
-    told = pull(d, 20, "tell")
-    assert sorted((x[1], x[2]) for x in told if x[2] == "lend") == [(1, "lend"), (2, "lend")]
+        d.heard(20, by, peer_codec.decode(peer_codec.encode(message)))
+    told = pull(d, 20, SendPeerMessage)
+    grants = [x for x in told if isinstance(x.message, SlotGrant)]
+    assert sorted(x.node for x in grants) == [1, 2]
     # Nothing of it is used.
-    assert [x[1:] for x in told if x[2] == "end"] == [(3, "end", 7, "moot", None)] * 2
+    releases = [x for x in told if isinstance(x.message, SlotReleased)]
+    assert releases == [(3, SlotReleased(7, Outcome.NEVER_SENT, None))] * 2
     assert all(
         inv.deadline <= 20 + inv.operation.client_timeout
         and inv.estimated_work <= inv.operation.client_timeout
         and inv.slots <= 64
         for inv in d.requests.values()
     )
-    for word in (
-        ("end", 7, Outcome.SUCCEEDED, None),
-        ("end", 7, Outcome.SUCCEEDED, None),
-        ("began", 7, 10, False),
-        ("news", 7),
+    for message in (
+        SlotReleased(7, Outcome.SUCCEEDED, None),
+        SlotReleased(7, Outcome.SUCCEEDED, None),
+        SlotStarted(7, 10, False),
+        SlotProgressed(7),
     ):
-        words.deliver(d, 60, 1, words.pack(*word))  # repeated, and after the end
-    assert d.endpoints.by_id[told[0][4] == rank and d.endpoints.healthy[0].id or 2].credit <= 3
+        d.heard(60, 1, peer_codec.decode(peer_codec.encode(message)))  # repeated, and after the end
+    assert d.endpoints.by_id[grants[0].message.rank == rank and d.endpoints.healthy[0].id or 2].credit <= 3
     assert len(d.requests) == 1
 
 
@@ -713,9 +730,10 @@
         now = 10_100 + 100 * i
         s.all[i % 20].taken(now, now, "op", None, now + 50_000, 4_000, 1)
         for at, by, x in s.go(now, now + 90):
-            if x[0] == "forward":
-                queues.setdefault(x[2], []).append([by, x[1], 0])
-                work[x[2], i // 100] = work.get((x[2], i // 100), 0) + 4_000
+            if isinstance(x, Forward):
+                id = x.endpoint_id
+                queues.setdefault(id, []).append([by, x.request_id, 0])
+                work[id, i // 100] = work.get((id, i // 100), 0) + 4_000
         for queue in queues.values():  # each runs two at once
             for f in [f for f in queue if f[2] and f[2] <= now]:
                 s.all[f[0]].ended(now, f[1], 0, Outcome.SUCCEEDED, True)
@@ -742,7 +760,7 @@
     d.listed(10, True, rows(1, 2))
     for now, free, credit in ((1_000, 3.9, 4), (2_000, 0.2, 4), (3_000, None, 4)):
         d.taken(now, now, "op", None, now + 50_000, 1_000, 1)
-        ((_, id, e, _),) = pull(d, now, "forward")
+        ((id, e, _),) = pull(d, now, Forward)
         d.ended(now + 500, id, 0, Outcome.SUCCEEDED, True, free)
         assert d.endpoints.by_id[e].credit == credit or free is None
     d.listed(4_000, True, rows(1))
@@ -750,7 +768,7 @@
     for free, credit in ((1.0, 6.0), (0.0, 4.0)):
         for now in range(5_000, 605_000, 10_000):
             d.taken(now, now, "op", None, now + 50_000, 1_000, 1)
-            ((_, id, e, _),) = pull(d, now, "forward")
+            ((id, e, _),) = pull(d, now, Forward)
             d.endpoints.by_id[e].slots_in_use = 20
             d.ended(now + 500, id, 0, Outcome.SUCCEEDED, True, free)
             d.endpoints.by_id[e].slots_in_use = 0
@@ -764,10 +782,10 @@
         d.listed(10, True, rows(1))
         d.endpoints.by_id[1].credit = 4.0
         d.taken(10, 1, "op", None, 50_010, 20_000, 2)
-        assert len(pull(d, 10, "forward")) == 1
+        assert len(pull(d, 10, Forward)) == 1
         d.started(12, 1, 0)
         d.taken(15, 2, "op", None, 50_015, 20_000, 3)
-        assert len(pull(d, 15, "forward")) == 0 and len(pull(d, now, "forward")) == sent
+        assert len(pull(d, 15, Forward)) == 0 and len(pull(d, now, Forward)) == sent
 
 
 def test_a_fleet_of_young_executors_does_not_starve_itself():
@@ -783,8 +801,9 @@
                 _, id, n = running.pop(0)
                 d.ended(now, id, n, Outcome.SUCCEEDED, True)
             d.taken(now, now, "op", None, now + 40_000, 500, 1)
-            for kind, id, *_ in pull(d, now):
-                if kind == "forward":
+            for action in pull(d, now):
+                if isinstance(action, Forward):
+                    id = action.request_id
                     d.started(now + 5, id, 0)
                     running.append((now + 2_000, id, 0))
                     sent[now // 10_000] = sent.get(now // 10_000, 0) + 1
@@ -809,7 +828,7 @@
         e.credit, e.start_floors[False] = 6.0, 20
         for n in range(running + 1):
             d.taken(20, n, "op", None, 40_000, 500, 1)
-        assert len(pull(d, 20, "forward")) == running + 1
+        assert len(pull(d, 20, Forward)) == running + 1
         for n in range(running):
             d.started(40, n, 0)
         e.credit = 6.0
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,11 +11,13 @@
 from loguru import logger
 
 from grebedyke.checks import checked
+from grebedyke.model.endpoint_list import EndpointRow
+from grebedyke.model.events import EndpointsChanged
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import assemble
 from grebedyke.service.configuration.reading import NODE
 from grebedyke.service.log import Gauges
-from grebedyke.service.switch import switch
+from grebedyke.service.reload import reload
 from grebedyke.service.turn import Turn
 from grebedyke.wire.discovery import Agent, Watch
 from grebedyke.wire.peers import Peers
@@ -605,7 +607,7 @@
                 say_("b", i % 24 == 9)
                 works["b"].reload()
             elif i == 34:  # faulty: the settings stay in force whole
-                before = works["a"].desk.dispatcher.uses_coordinators
+                before = works["a"].desk.dispatcher.context.uses_coordinators
                 files["a"].write_bytes(
                     orjson.dumps(
                         {
@@ -616,12 +618,12 @@
                 )
                 works["a"].reload()
                 assert (
-                    works["a"].desk.dispatcher.uses_coordinators == before
-                    and works["a"].desk.dispatcher.tick == 50
+                    works["a"].desk.dispatcher.context.uses_coordinators == before
+                    and works["a"].desk.dispatcher.context.settings.scheduling_interval == 50
                 )
-            words += sum(len(work.desk.dispatcher.leases) for work in works.values())
+            words += sum(len(work.desk.dispatcher.lending.leases) for work in works.values())
         texts = {id: await answer for id, answer in answers.items()}
-        assert words and not any(work.desk.dispatcher.uses_coordinators for work in works.values())
+        assert words and not any(work.desk.dispatcher.context.uses_coordinators for work in works.values())
         assert all(not work.desk.owed and not work.desk.dispatcher.requests for work in works.values())
         assert all(
             not e.slots_in_use for work in works.values() for e in work.desk.dispatcher.endpoints.healthy
@@ -679,28 +681,25 @@
 
     def seen(d):
         shown = {}
-        for part in (d, d.endpoints, d.cutoffs, d.quotas):
+        for part in (d.endpoints, d.cutoffs, d.quotas):
             for name, value in vars(part).items():
-                if isinstance(value, (int, float, str, bool)) and name not in (
-                    "number",
-                    "count",
-                    "seen",
-                    "ask_at",
-                    "ask_fails",
-                    "alarm",
-                ):
+                if isinstance(value, (int, float, str, bool)):
                     shown[type(part).__name__, name] = value
-        return shown, [op.name for op in d.ops], d.quotas.tenants, d.quotas.quotas, sorted(d.endpoints.groups)
+        settings = d.context.settings
+        shown |= settings._replace(operations=None, peer_operations=None)._asdict()
+        shown["coordinators"] = d.context.uses_coordinators
+        names = [op.name for op in settings.peer_operations]
+        return shown, names, d.quotas.tenants, d.quotas.quotas, sorted(d.endpoints.groups)
 
     def fresh(conf):
         d = configuration.open_dispatcher("1", conf)
-        d.listed(10, True, [("s-1", "b", "m", 0, "healthy", 0, 1)])
+        d.handle(10, EndpointsChanged(True, [EndpointRow("s-1", "b", "m", 0, "healthy", 0, 1)]))
         return d
 
     d = fresh(one)
     for conf in (two, one, two):
         assert seen(d) != seen(fresh(conf))
-        switch(20, d, configuration.open_dispatcher("1", conf))
+        reload(20, d, configuration.open_dispatcher("1", conf))
         assert seen(d) == seen(fresh(conf))
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,6 +1,7 @@
 import pytest
 from helpers import HAND_IN, NOW, floor, join, news, say
 
+from grebedyke.model.actions import Cancel, Fail, Forward, Probe, Throttle
 from grebedyke.model.outcome import Outcome
 from grebedyke.wire import http
 from grebedyke.wire.ring import RingBuffer
@@ -155,7 +156,7 @@
     assert third.transport.written.startswith(b"HTTP/1.1 503") and third.transport.closing
     assert b"r3" not in node.desk.owed
     third.connection_lost(None)
-    node.desk.do(0, ("error", b"r1"))
+    node.desk.do(0, Fail(b"r1"))
     node.loop.go()
     fresh = node.client()  # over the cap again: the one that is between two messages makes room
     assert busy[0].transport.closing and not busy[1].transport.closing and not fresh.transport.closing
@@ -170,7 +171,7 @@
     ):
         node = floor(most=1)
         client = node.hand_in()
-        node.desk.do(NOW, ("error", b"r1"))
+        node.desk.do(NOW, Fail(b"r1"))
         close(node)
         node.loop.go()
         assert client.transport.closing and client.transport.written.startswith(b"HTTP/1.1 500")
@@ -187,7 +188,7 @@
     ):
         node = floor(most=16)
         kept = node.hand_in()
-        node.desk.do(NOW, ("error", b"r1"))
+        node.desk.do(NOW, Fail(b"r1"))
         node.loop.go()
         crowd = [
             (name, say(node.client(), text))
@@ -206,7 +207,7 @@
     # Those that came later found no descriptor of the clients' share left, and were not taken at all.
     node = floor(share=0)
     client = node.hand_in()
-    node.desk.do(NOW, ("error", b"r1"))
+    node.desk.do(NOW, Fail(b"r1"))
     node.loop.go()
     assert not say(client, HAND_IN).transport.closing  # never one that hands in
     node, clients = floor(share=2), []
@@ -214,7 +215,7 @@
     for i in range(4):
         clients.append(say(node.client(), HAND_IN.replace(b"r1", b"r%d" % i)))
         if i != 1:
-            node.desk.do(NOW, ("error", b"r%d" % i))
+            node.desk.do(NOW, Fail(b"r%d" % i))
         node.loop.go()
     assert [c.transport.closing for c in clients] == [True, False, True, False]
 
@@ -234,7 +235,7 @@
     node = floor()
     slow, mute, owed, used = say(node.client(), HAND_IN[:-1]), node.client(), node.hand_in(), node.client()
     say(used, HAND_IN.replace(b"r1", b"r2"))
-    node.desk.do(NOW, ("error", b"r2"))
+    node.desk.do(NOW, Fail(b"r2"))
     node.loop.go()
     say(used, HAND_IN[:-1])
     for after, told in ((20_000, []), (22_500, [slow, mute]), (70_000, [slow, mute, used])):
@@ -328,7 +329,7 @@
 def test_a_line_that_ends_before_the_turn_writes_has_sent_nothing():
     node = floor()
     node.hand_in()
-    node.desk.do(NOW, ("forward", b"r1", "s-1", 9_000))
+    node.desk.do(NOW, Forward(b"r1", "s-1", 9_000))
     node.lines[0].transport.closing = True
     node.turn.run()
     node.lines[0].connection_lost(None)
@@ -448,7 +449,7 @@
         node.forward()
         say(node.lines[0], ACCEPTED)
         node.loop.go()
-        node.desk.do(NOW, ("cancel", b"r1", 0))
+        node.desk.do(NOW, Cancel(b"r1", 0))
         node.loop.go()
         assert not node.ends() and b"DELETE /jobs/r1 " in node.lines[0].transport.written
         if ended:
@@ -467,7 +468,7 @@
     for name, allowed, outcome in (("s-9", 9_000, "no connection"), ("s-1", 0, "moot")):
         node = floor()
         node.hand_in()
-        node.desk.do(NOW, ("forward", b"r1", name, allowed))
+        node.desk.do(NOW, Forward(b"r1", name, allowed))
         node.desk.overslept(0, node.desk.owed[b"r1"]) if not allowed else None
         node.forward() if allowed else None
         node.loop.go()
@@ -495,7 +496,7 @@
     node.desk.overslept(0, node.desk.owed[b"r1"])
     node.loop.go()
     assert client.transport.written.startswith(b"HTTP/1.1 500") and not node.desk.owed
-    node.desk.do(0, ("throttle", b"r1", 0))
+    node.desk.do(0, Throttle(b"r1", 0))
     assert client.transport.written.count(b"HTTP/1.1") == 1
 
 
@@ -531,7 +532,7 @@
     node.hand_in()
     node.pool.endpoints["s-1"].idle.clear()  # both descriptors in use: no third line
     node.lines[1].carry(node.pool.endpoints["s-2"].call(b"GET", b"/alive", (), b"", lambda *_: None))
-    node.desk.do(NOW, ("forward", b"r1", "s-1", 9_000))
+    node.desk.do(NOW, Forward(b"r1", "s-1", 9_000))
     assert not node.ends()
     node.loop.go()
     assert [x[3] for x in node.ends()] == [Outcome.CONNECT_FAILED]
@@ -546,7 +547,7 @@
     node.forward()
     assert young.transport.written and not node.lines[0].transport.written
     node.lines[0].since -= node.pool.keep
-    node.desk.do(NOW, ("probe", "s-1"))
+    node.desk.do(NOW, Probe("s-1"))
     node.loop.go()
     assert not node.lines[0].transport.written
     node.pool.sweep(NOW)
@@ -574,7 +575,7 @@
         assert node.pool.usable == usable, (ending, first)
         node.pool.endpoints["s-2"].idle = [node.lines[1]]
         node.lines[1].since = NOW - 20_000
-        node.desk.do(NOW, ("probe", "s-2"))
+        node.desk.do(NOW, Probe("s-2"))
         node.loop.go()
         assert bool(node.lines[1].transport.written) == (usable == 1_000_000)
         node.pool.sweep(NOW)
@@ -585,7 +586,7 @@
     node = floor()
     node.turn.put(lambda now: 1 / 0)
     client = node.hand_in()
-    node.desk.do(0, ("error", b"r1"))
+    node.desk.do(0, Fail(b"r1"))
     node.loop.go()
     assert client.transport.written.startswith(b"HTTP/1.1 500")
 
@@ -597,7 +598,7 @@
         (b"", ("s-1", "timeout", None, None)),
     ):
         node = floor()
-        node.desk.do(NOW, ("probe", "s-1"))
+        node.desk.do(NOW, Probe("s-1"))
         node.loop.go()
         say(node.lines[0], answer)
         node.loop.go()
