--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -37,7 +37,7 @@
             [(t, budget.requests) for t in taken] + [(t, budget.retries) for t in sent], key=lambda x: x[0]
         ):
             ring.add(at)
-        assert budget.available(int(now))[0] == pytest.approx(left), (free, share, taken, sent, now)
+        assert budget.available(int(now)).left == pytest.approx(left), (free, share, taken, sent, now)
 
 
 def test_no_further_forward_beyond_it_and_an_answer_at_once():
@@ -125,18 +125,18 @@
 
 def test_a_process_that_has_given_its_budget_away_or_lost_its_heir_waits_a_window():
     old, new = RetryBudget(3, 0, WINDOW), RetryBudget(3, 0, WINDOW)
-    old.again.add(100)
-    new.recall(200, *old.books())
-    assert old.left(300)[0] == 0 and new.left(300)[0] == 2
-    new.alone(300)  # its old process has ended
-    assert new.left(300)[0] == 2
-    old.alone(400)  # the heir has died, and may have sent as many
-    assert old.left(WINDOW)[0] == 0 and old.left(400 + WINDOW * 21 // 20)[0] == 3
+    old.retries.add(100)
+    new.import_state(200, *old.export_state())
+    assert old.available(300).left == 0 and new.available(300).left == 2
+    new.on_other_process_gone(300)  # its old process has ended
+    assert new.available(300).left == 2
+    old.on_other_process_gone(400)  # the heir has died, and may have sent as many
+    assert old.available(WINDOW).left == 0 and old.available(400 + WINDOW * 21 // 20).left == 3
     # A predecessor that says nothing of its budget, and rings too short for a longer window.
-    for books in (((), (), 0, 0), (*old.books()[:3], FOREVER)):
+    for books in (((), (), 0, 0), (*old.export_state()[:3], FOREVER)):
         late = RetryBudget(3, 0, WINDOW)
-        late.recall(400, *books)
-        assert late.left(WINDOW)[0] == 0
+        late.import_state(400, *books)
+        assert late.available(WINDOW).left == 0
 
 
 def test_its_terms_are_refused_by_their_key():
