--- a/grebedyke/policy/cutoff_search.py
+++ b/grebedyke/policy/cutoff_search.py
@@ -14,7 +14,7 @@
 from collections import deque
 from math import inf
 
-from grebedyke.model import Ring
+from grebedyke.model.window_counter import WindowCounter
 from grebedyke.policy import bounded_pareto
 from grebedyke.policy.wait_model import Workload, mean_wait
 from grebedyke.units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
@@ -74,7 +74,7 @@
         self.slots_freed = 0
         self.slots_kept = 0
         self.trial_cuts = 0
-        self.arrivals = Ring(TICKS_PER_SECOND, ARRIVAL_WINDOW_SECONDS)
+        self.arrivals = WindowCounter(TICKS_PER_SECOND, ARRIVAL_WINDOW_SECONDS)
         self.uncuttable = 1.0
         self.next_fit = 0
         self.generations_left = 0
--- a/grebedyke/policy/retry_budget.py
+++ b/grebedyke/policy/retry_budget.py
@@ -14,7 +14,7 @@
 from math import inf
 from typing import NamedTuple
 
-from grebedyke.model import Ring
+from grebedyke.model.window_counter import WindowCounter
 from grebedyke.units import TICKS_PER_SECOND
 
 # A time in ticks beyond any that occurs.
@@ -59,8 +59,8 @@
         self.window = window
         self.blocked_until = 0
         bucket = max((window or DEFAULT_WINDOW) // BUCKETS_PER_WINDOW, 1)
-        self.requests = Ring(bucket, KEPT_BUCKETS)
-        self.retries = Ring(bucket, KEPT_BUCKETS)
+        self.requests = WindowCounter(bucket, KEPT_BUCKETS)
+        self.retries = WindowCounter(bucket, KEPT_BUCKETS)
 
     def available(self, now):
         """Returns the Allowance at this moment."""
