--- a/grebedyke/policy/dispatcher.py
+++ b/grebedyke/policy/dispatcher.py
@@ -21,7 +21,7 @@
         self.operations, self.ops, self.tick, self.by_work = operations, [*operations.values()], tick, by_work
         self.capabilities, self.request_limits = capabilities, request_limits
         self.uses_coordinators = self.endpoints.groups_per_zone > 0
-        self.requests, self.queue, self.cuts, self.probed = {}, {}, [], self.endpoints.probed
+        self.requests, self.queue, self.cuts, self.probed = {}, {}, [], self.endpoints.on_probe_answer
         self.alarm, self.flow, self.count, self.seen, self.ask_at, self.ask_fails = 0, None, 0, 0, 0, 0
         self.words, self.asked, self.leases, self.number = deque(), {}, deque(), int(chance.draw() * 2**31)
 
@@ -36,13 +36,13 @@
     def unlisted(self, now):
         """At start or after a failed ask: spread by the number of nodes; widely only after a failure."""
         if self.capabilities.polls_list:
-            spread = TICKS_PER_SECOND * min(0.05 * self.endpoints.nodes, 2) * 2**self.ask_fails
+            spread = TICKS_PER_SECOND * min(0.05 * self.endpoints.node_count, 2) * 2**self.ask_fails
             self.ask_fails = min(self.ask_fails + 1, 3)
             self.ask_at = now + int(spread * self.chance.draw()) + 1
 
     def taken(self, now, id, operation, tenant, due, hint, slots, asker=None):
         operation, endpoints = self.operations[operation], self.endpoints
-        size = hint or operation.mean_work or endpoints.quick
+        size = hint or operation.mean_work or endpoints.prompt_wait
         over = not self.uses_coordinators and self.quotas.is_over_quota(now, tenant)  # else its keeper tells
         request = self.requests[id] = Request(
             id=id,
@@ -56,8 +56,8 @@
             tenant=tenant,
             origin_node=asker,
         )
-        endpoints.widest = max(endpoints.widest, slots)
-        spare = max(0.0, operation.objective_stretch - 1 / endpoints.pace) * size * 0.7
+        endpoints.load.widest_request = max(endpoints.load.widest_request, slots)
+        spare = max(0.0, operation.objective_stretch - 1 / endpoints.speeds.mean_speed) * size * 0.7
         # A client's repeat keeps its first try's client timeout: what is left of it tells when that came.
         # Of clients in a hurry too: sent while their size fits, they pushed others into lateness (200 nodes).
         operation.longest_timeout = max(operation.longest_timeout, due - now)
@@ -66,14 +66,13 @@
             request.first_arrived_at + int(operation.latency_objective * 0.6 + spare), due - 4 * self.tick
         )
         if asker is None:
-            self.cutoffs.arrivals.add(now)
             self.retry_budget.requests.add(now)
-            endpoints.mean += 0.1 * (size - endpoints.mean) if endpoints.mean else size
+            endpoints.load.on_request(size)
             # Without start notes nothing tells what a cut gives back.
-            fixed = operation.effect != Effect.IDEMPOTENT or not (
+            may_be_cut = operation.effect == Effect.IDEMPOTENT and (
                 self.capabilities.cancels and self.capabilities.start_notices
             )
-            self.cutoffs.uncuttable += 0.05 * (fixed - self.cutoffs.uncuttable)
+            self.cutoffs.on_arrival(now, may_be_cut)
             self.hold(request)
             if self.quotas.limits and (back := self.quotas.limits.take(now, request)):
                 request.latest_start, request.retry_after = (
@@ -145,21 +144,13 @@
                 self.words.append(
                     ("tell", attempt.granting_node, "began", attempt.slot_request_number, took, opened)
                 )
-            self.endpoints.began(endpoint, now, attempt, took)
+            self.endpoints.on_start(endpoint, now, attempt, took)
             self.clock(attempt, now)
             if endpoint.cut_at and attempt.sent_at < endpoint.cut_at:
                 # Work that waited behind a cut job starts right after it: the cancel gave the slot back.
-                freed, c = (
-                    now - endpoint.cut_at <= endpoint.start_floors[opened] + 2 * self.tick,
-                    self.cutoffs,
-                )
-                c.slots_freed, c.slots_kept, endpoint.cut_at = (
-                    c.slots_freed + freed,
-                    c.slots_kept + (not freed),
-                    0,
-                )
-                # Four are enough to score by: not a whole refit's cuts in vain.
-                c.next_fit = now if c.slots_freed + c.slots_kept == 4 else c.next_fit
+                freed = now - endpoint.cut_at <= endpoint.start_floors[opened] + 2 * self.tick
+                self.cutoffs.on_cancel_observed(now, freed)
+                endpoint.cut_at = 0
 
     def clock(self, attempt, began):
         attempt.started_at, endpoint, best = began, attempt.endpoint, self.cutoffs.in_force
@@ -203,14 +194,8 @@
         attempt.end(outcome in NEVER_RAN)
         if free is not None and not self.capabilities.start_notices and attempt.granting_node is None:
             # Credit is then the most slots seen free at once; more while some are though the book is full.
-            slots = max(endpoints.slots.get(endpoint.kind, 1.0), round(free))
-            slots += (
-                0.05 * (free - 0.3)
-                if self.queue and endpoint.slots_in_use + request.slots >= int(slots)
-                else 0
-            )
-            slots = endpoints.slots[endpoint.kind] = min(max(slots, 1.0), 64.0)
-            endpoint.credit = float(int(slots))
+            wanted = endpoint.slots_in_use + request.slots if self.queue else 0
+            endpoints.credit.on_free_slots(endpoint, free, wanted, endpoints.load.slots_by_kind)
         if attempt.granting_node is not None:
             self.words.append(
                 ("tell", attempt.granting_node, "end", attempt.slot_request_number, outcome, free)
@@ -222,15 +207,15 @@
                 endpoint.rejected_until[request.operation],
             ) = now, 0, 0
             run = max(now - (attempt.started_at or attempt.sent_at), 1)
-            endpoints.ran(endpoint, request.estimated_work, run, request.operation.mean_work)
+            endpoints.speeds.on_finished(endpoint, request.estimated_work, run, request.operation.mean_work)
             # Without hints a size is the running time at the fleet's mean speed: else both drift together.
-            size = run * endpoint.speed / (1.0 if request.work_hint else endpoints.pace)
+            size = run * endpoint.speed / (1.0 if request.work_hint else endpoints.speeds.mean_speed)
             request.operation.mean_work += (
                 0.05 * (size - request.operation.mean_work) if request.operation.mean_work else size
             )
             self.cutoffs.finished_sizes.append(size)
         else:
-            endpoints.failed(endpoint, now, outcome, request.operation)
+            endpoints.on_failure(endpoint, now, outcome, request.operation)
             if attempt.cut and outcome == Outcome.CANCELLED:
                 self.cutoffs.cut_sizes.append(max(now - attempt.started_at, 1) * endpoint.speed)
                 request.tier = endpoint.tier + 1
@@ -238,7 +223,7 @@
             self.finish(request)
         elif not (request.queued or request.open_attempts or request.finished):
             request.latest_start = (
-                request.deadline - 4 * self.tick - int(request.estimated_work / endpoints.pace)
+                request.deadline - 4 * self.tick - int(request.estimated_work / endpoints.speeds.mean_speed)
                 if attempt.cut
                 else request.latest_start
             )
@@ -320,10 +305,10 @@
         """Until cancels are known to free slots, cut only where own waiting work will tell if they do."""
         c, waits = self.cutoffs, any(not g.started_at for g in attempt.endpoint.in_flight.values())
         known, over = (
-            c.slots_freed + c.slots_kept >= 4,
+            c.cancel_effect_known,
             attempt.ended or attempt.cancelled or attempt.request.finished or not c.in_force,
         )
-        trial = c.trial_cuts < 4 and waits and not attempt.endpoint.cut_at
+        trial = c.trial_cuts_left and waits and not attempt.endpoint.cut_at
         # Cut only what may go again: a cut job that has to be given up has run for nothing.
         left, allowance = self.retry_budget.available(now)
         paid, limits = left >= max(1, allowance / 2), self.quotas.limits
@@ -350,7 +335,7 @@
         )
         self.queue = dict.fromkeys(order)
         # Own answers tell little of executors at which under a quarter of a forward of this node is out.
-        work = self.cutoffs.arrivals.total(now) * endpoints.mean
+        work = self.cutoffs.arrivals.total(now) * endpoints.load.mean_work
         thin = self.capabilities.probes and work < TICKS_PER_SECOND * len(endpoints.healthy)
         for request in order:
             if now >= request.latest_start or request.attempts and not self.again(request, now):
@@ -370,7 +355,7 @@
                 some = [
                     endpoint
                     for endpoint in request.probed_endpoints
-                    if not endpoint.probe_sent_at and endpoints.ready(endpoint, now)
+                    if not endpoint.probe_sent_at and endpoints.is_ready(endpoint, now)
                 ]
             elif (some := free.get(request.placement_group)) is None:
                 # From a random place in the hashed list on, and not all: CPU must not grow with the fleet.
@@ -378,7 +363,7 @@
                 at = int(self.chance.draw() * len(some))
                 ring = some[at:] + some[:at]
                 some = free[request.placement_group] = list(
-                    islice((endpoint for endpoint in ring if endpoints.ready(endpoint, now)), 24)
+                    islice((endpoint for endpoint in ring if endpoints.is_ready(endpoint, now)), 24)
                 )
             waits = (
                 thin
@@ -391,7 +376,7 @@
             )
             # Another report is worth its probe as far as reports were seen to tell where work begins at once.
             gain = (
-                endpoints.told[1] - endpoints.told[0]
+                endpoints.load.report_value
                 if thin and endpoint and endpoint.expected_wait > 0 and request.search_rounds < 3
                 else 0
             )
@@ -409,7 +394,7 @@
                     not self.capabilities.start_notices
                 ):  # the design's second clock: the send plus the modelled wait
                     self.clock(attempt, now + int(endpoint.expected_wait))
-                if endpoint in some and not thin and not endpoints.ready(endpoint, now):
+                if endpoint in some and not thin and not endpoints.is_ready(endpoint, now):
                     some.remove(endpoint)
                 attempt.had_free_slot = not endpoint.reported_wait if thin else None
                 if request.origin_node is None:
@@ -424,7 +409,9 @@
             elif thin and not waits:
                 # All nodes read the same late reports: asking until one has room makes all meet there.
                 again = request.search_rounds < (
-                    1 + (self.chance.draw() > endpoints.late[0]) if some and endpoints.slots else 4
+                    1 + (self.chance.draw() > endpoints.lateness.at_home)
+                    if some and endpoints.load.slots_by_kind
+                    else 4
                 )
                 yield from self.ask(request, now) if again else (self.give_up(request, now),)
 
@@ -432,7 +419,7 @@
         """Asks the keeper of a randomly drawn executor; another when it has none free or does not answer."""
         endpoints = self.endpoints
         if request.asked_group:
-            endpoints.keeper(request.asked_group, now, silent=True)
+            endpoints.coordinators.on_silence(request.asked_group, now)
             request.tried_groups.discard(request.asked_group)
             request.asked_group = None
         leave = self.leave(request)
@@ -442,8 +429,8 @@
         if pool:
             group = self.chance.pick(pool)
             request.tried_groups.add(group)
-            to = endpoints.keeper(group, now)
-            if to == endpoints.me:
+            to = endpoints.coordinators.node_for(group, now)
+            if to == endpoints.node_number:
                 request.placement_group, request.next_search_at = group, now + 1
                 request.over_quota = (
                     request.over_quota
@@ -472,7 +459,7 @@
 
     def leave(self, request):
         """Crossing costs by the forward: home is waited for the longer the less there is to gain."""
-        part = self.endpoints.cross * (
+        part = self.endpoints.crossing_price * (
             (request.operation.mean_work or request.estimated_work) / request.estimated_work
             if self.by_work
             else 1
@@ -482,7 +469,10 @@
     def ask(self, request, now, some=()):
         """One random executor, by size, of home or of the other zones, in turn; some: those asked before."""
         endpoints, request.probed_endpoints = self.endpoints, [*some]
-        away = max(4 * (endpoints.late[0] - endpoints.late[1] - endpoints.cross), 0.02)
+        away = max(
+            4 * (endpoints.lateness.at_home - endpoints.lateness.in_other_zones - endpoints.crossing_price),
+            0.02,
+        )
         request.probing_other_zones = (
             not request.probing_other_zones if request.search_rounds else self.chance.draw() < away
         )
@@ -497,7 +487,10 @@
             endpoint for endpoint in left if (endpoint.zone != endpoints.zone) == request.probing_other_zones
         ] or left
         # First those where own work started at once and ended lately; short jobs have turned that over.
-        keep, young = self.chance.draw() * TICKS_PER_SECOND < 2 * endpoints.mean, now - endpoints.ramp
+        keep, young = (
+            self.chance.draw() * TICKS_PER_SECOND < 2 * endpoints.load.mean_work,
+            now - endpoints.slow_start.ramp_time,
+        )
         known = [
             endpoint
             for endpoint in side
@@ -505,7 +498,7 @@
             and not endpoint.in_flight
             and now < endpoint.last_heard_at + 4 * TICKS_PER_SECOND
             and endpoint.started_at < young
-            and endpoint.expected_wait <= endpoints.quick
+            and endpoint.expected_wait <= endpoints.prompt_wait
         ]
         # Young ones whose budget has come go before all: with many, the few old would else carry everything.
         turn = [
@@ -513,7 +506,7 @@
             for endpoint in side
             if endpoint.started_at >= young
             and self.suits(request, endpoint, now)
-            and endpoints.ready(endpoint, now)
+            and endpoints.is_ready(endpoint, now)
         ]
         for _ in range(32 if side else 0):
             endpoint = self.chance.pick(turn or known or side)
@@ -523,7 +516,7 @@
                 or self.chance.draw() * endpoints.largest_weight < endpoint.weight
                 and endpoint.started_at < young
             )
-            if fits and self.suits(request, endpoint, now) and endpoints.ready(endpoint, now):
+            if fits and self.suits(request, endpoint, now) and endpoints.is_ready(endpoint, now):
                 request.probed_endpoints, endpoint.probe_sent_at = [*some, endpoint], now
                 yield ("probe", endpoint.id)
                 return True
@@ -580,14 +573,14 @@
             + request.operation.latency_objective
             + request.operation.objective_stretch * request.estimated_work
             - now,
-            endpoints.lag(now),
+            endpoints.lateness.excess_wait(now),
         )
         if thin:
             pool = [
                 endpoint
                 for endpoint in pool
                 if endpoint.expected_wait + lag
-                <= max(end - request.estimated_work / endpoint.speed, endpoints.quick)
+                <= max(end - request.estimated_work / endpoint.speed, endpoints.prompt_wait)
             ]
         pool = [
             endpoint
--- a/grebedyke/service/configuration/terms.py
+++ b/grebedyke/service/configuration/terms.py
@@ -10,8 +10,9 @@
 from grebedyke.model.settings import Capabilities, PolicyParts, RequestLimits
 from grebedyke.policy.cutoff_search import CutoffSearch
 from grebedyke.policy.dispatcher import Dispatcher
-from grebedyke.policy.endpoint_table import EndpointTable
+from grebedyke.policy.endpoint_table import EndpointTable, EndpointTableSettings
 from grebedyke.policy.retry_budget import RetryBudget
+from grebedyke.policy.slow_start import SlowStartSettings
 from grebedyke.policy.tenant_quotas import TenantQuotas
 from grebedyke.units import ticks
 
@@ -146,23 +147,27 @@
     }
     nodes, me = int(conf["balancers"]), int(conf["me"])
     chance = SeededRandom(seed)
-    fleet = EndpointTable(
-        conf["zone"],
-        me,
-        nodes,
-        rules["coldFrom"],
-        ticks(rules["rampTimeMs"]),
-        rules["fallMultiple"],
-        max(min(op.latency_objective for op in operations.values()) // 10, 10),
-        ticks(family["progressMs"]),
-        prices["crossZone"],
-        1 + nodes // 64 if limits["peerMessages"] else 0,
+    endpoint_table = EndpointTable(
+        EndpointTableSettings(
+            zone=conf["zone"],
+            node_number=me,
+            node_count=nodes,
+            slow_start=SlowStartSettings(
+                initial_warmth=rules["coldFrom"],
+                ramp_time=ticks(rules["rampTimeMs"]),
+                fall_multiple=rules["fallMultiple"],
+            ),
+            prompt_wait=max(min(op.latency_objective for op in operations.values()) // 10, 10),
+            progress_interval=ticks(family["progressMs"]),
+            crossing_price=prices["crossZone"],
+            groups_per_zone=1 + nodes // 64 if limits["peerMessages"] else 0,
+        )
     )
     quotas = {row["name"]: row["quotaRps"] for row in conf["parties"]}
     budget = RetryBudget(rules["extraFloor"] or 0, rules["resendRatio"] or 0, ticks(rules["lookBackMs"] or 0))
     return Dispatcher(
         chance,
-        PolicyParts(CutoffSearch(chance, nodes), fleet, TenantQuotas(quotas, nodes), budget),
+        PolicyParts(CutoffSearch(chance, nodes), endpoint_table, TenantQuotas(quotas, nodes), budget),
         operations,
         ticks(conf["tickMs"]),
         conf["billedValueBy"] == "work",
--- a/grebedyke/service/switch.py
+++ b/grebedyke/service/switch.py
@@ -8,8 +8,6 @@
 
 from grebedyke.model.outcome import Outcome
 
-PARTS = ("endpoints",)
-
 
 def copy(old, new, *but):
     """Each term is kept under the name by which the part is given it."""
@@ -27,7 +25,7 @@
         request.latest_start = min(request.latest_start, request.deadline - 4 * new.tick)
     moved = any(
         getattr(endpoints, name) != getattr(new.endpoints, name)
-        for name in ("groups_per_zone", "nodes", "me")
+        for name in ("groups_per_zone", "node_count", "node_number")
     )
     for name, operation in new.operations.items():
         if before := old.operations.get(name):
@@ -36,8 +34,7 @@
                 before.mean_work,
                 before.longest_timeout if before.client_timeout == operation.client_timeout else 0,
             )
-    for part in PARTS:
-        copy(getattr(old, part), getattr(new, part))
+    old.endpoints.adopt_settings(new.endpoints)
     old.cutoffs.adopt_settings(new.cutoffs)
     old.quotas.adopt_settings(new.quotas)
     old.retry_budget.adopt_settings(new.retry_budget, now)
@@ -60,7 +57,8 @@
 def renumber(now, d):
     """Nodes have other numbers or groups: what was lent goes back without blame, what is held asks anew."""
     held = sorted((request for request in d.queue if request.queued), key=lambda request: request.queue_key)
-    d.queue, d.asked, d.endpoints.missed = {}, {}, {}
+    d.queue, d.asked = {}, {}
+    d.endpoints.coordinators.forget_silence()
     for request in list(d.requests.values()):
         for attempt in request.attempts:
             attempt.granting_node = None  # no word of it to whoever has that number now
--- a/grebedyke/wire/words.py
+++ b/grebedyke/wire/words.py
@@ -65,7 +65,12 @@
 def deliver(host, now, by, body):
     """Another node's word as a call on this one's dispatcher; what cannot be read is nothing."""
     word = unpack(body)
-    if not (word and host.uses_coordinators and by != host.endpoints.me and 0 <= by < host.endpoints.nodes):
+    if not (
+        word
+        and host.uses_coordinators
+        and by != host.endpoints.node_number
+        and 0 <= by < host.endpoints.node_count
+    ):
         return
     kind, number, *figures = word
     if kind == "ask":
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,8 +6,9 @@
 from grebedyke.model.settings import Capabilities, PolicyParts, RequestLimits
 from grebedyke.policy.cutoff_search import CutoffSearch
 from grebedyke.policy.dispatcher import Dispatcher
-from grebedyke.policy.endpoint_table import EndpointTable
+from grebedyke.policy.endpoint_table import EndpointTable, EndpointTableSettings
 from grebedyke.policy.retry_budget import RetryBudget
+from grebedyke.policy.slow_start import SlowStartSettings
 from grebedyke.policy.tenant_quotas import TenantQuotas
 from grebedyke.service.desk import Desk
 from grebedyke.service.log import Gauges
@@ -51,9 +52,23 @@
 ):
     ops = {"op": operation("op", effect, group, window)}
     chance = SeededRandom(seed)
-    fleet = EndpointTable("a", me, nodes, 0.3, 80_000, 3.0, 250, progress, cross, split)
+    endpoint_table = EndpointTable(
+        EndpointTableSettings(
+            zone="a",
+            node_number=me,
+            node_count=nodes,
+            slow_start=SlowStartSettings(initial_warmth=0.3, ramp_time=80_000, fall_multiple=3.0),
+            prompt_wait=250,
+            progress_interval=progress,
+            crossing_price=cross,
+            groups_per_zone=split,
+        )
+    )
     parts = PolicyParts(
-        CutoffSearch(chance, nodes), fleet, TenantQuotas(tenants or {}, nodes), RetryBudget(*budget)
+        CutoffSearch(chance, nodes),
+        endpoint_table,
+        TenantQuotas(tenants or {}, nodes),
+        RetryBudget(*budget),
     )
     return Dispatcher(
         chance,
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -172,7 +172,7 @@
             endpoint_load=1,
         )
         e.ejected_until, e.credit = 0, 0.1
-        d.endpoints.began(e, now, f, 30_000)
+        d.endpoints.on_start(e, now, f, 30_000)
         assert 0 < e.ejected_until <= now + 2_500
 
 
@@ -260,7 +260,7 @@
 def test_one_pull_looks_at_few_of_many_executors():
     d, asked = dispatcher(), []  # guards against a node's CPU growing with the fleet
     d.listed(10, True, rows(*range(300)))
-    d.endpoints.ready = lambda e, now: asked.append(e) or True
+    d.endpoints.is_ready = lambda e, now: asked.append(e) or True
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
     assert len(pull(d, 10, "forward")) == 1 and len(asked) < 40
 
@@ -361,7 +361,7 @@
     for _ in range(3):
         d.unlisted(0)
     latest = max(d.ask_at for _ in range(9) if d.unlisted(0) is None)
-    assert d.endpoints.nodes * 500 < latest <= 8 * 2 * 10_000 + 1
+    assert d.endpoints.node_count * 500 < latest <= 8 * 2 * 10_000 + 1
 
 
 def test_same_decisions_under_any_hash_seed():
@@ -421,7 +421,7 @@
                 reported_wait=0,
             )
             d.endpoints.by_id[1].start_floors = [0, 0]
-            d.endpoints.began(d.endpoints.by_id[1], f.sent_at + wait, f, wait)
+            d.endpoints.on_start(d.endpoints.by_id[1], f.sent_at + wait, f, wait)
         for i in range(40):
             now = 500_000 + 10_000 * i
             d.endpoints.by_id[1].ejected_until = d.endpoints.by_id[1].probe_sent_at = d.endpoints.by_id[
@@ -437,7 +437,7 @@
     for late, asked in ((1.0, 1), (0.0, 2)):  # guards against a herd under overload, when all ask twice
         d = dispatcher(nodes=200, probes=True, back=20_000)
         d.listed(10, True, rows(1, 2) + rows(3, 4, zone="b"))
-        d.endpoints.late[0], d.endpoints.slots = late, {"std": 4}
+        d.endpoints.lateness.at_home, d.endpoints.load.slots_by_kind = late, {"std": 4}
         d.taken(10, 5, "op", None, 50_000, 1_000, 1)
         for _ in range(asked):
             ((_, id),) = pull(d, 20, "probe")
@@ -450,7 +450,7 @@
     for held, taken in ((5, True), (40, False)):
         d = dispatcher(nodes=200, probes=True)
         d.listed(10, True, rows(1))
-        d.endpoints.slots["std"] = 4
+        d.endpoints.load.slots_by_kind["std"] = 4
         d.taken(10, 5, "op", None, 50_000, 4_000, 1)
         probes = pull(d, 10, "probe") or pull(d, 10, "probe")
         d.probed(20, probes[0][1], "ok", 0, held)
@@ -468,7 +468,8 @@
         for free, held in ((4.0, 0.0), *[(2.0, 1.2), (3.6, 1.2), (4.4, 1.0)] * 9, (1.0, 20.0), (0.0, 20.0)):
             d.probed(20, 1, "ok", free, held)
         assert (
-            d.endpoints.slots["std"] < (7 if wide == 1 else 5.5) and d.endpoints.by_id[1].expected_wait > wait
+            d.endpoints.load.slots_by_kind["std"] < (7 if wide == 1 else 5.5)
+            and d.endpoints.by_id[1].expected_wait > wait
         )
 
 
@@ -478,7 +479,9 @@
         for seed in range(20):
             d = dispatcher(nodes=40, probes=True, seed=seed)
             d.listed(10, True, rows(*range(8)))
-            d.endpoints.told, d.endpoints.slots = at_once, {"std": 4.0}
+            load = d.endpoints.load
+            load.when_full.share, load.when_free.share = at_once
+            load.slots_by_kind = {"std": 4.0}
             d.taken(10, 5, "op", None, 50_010, 1_000, 1)
             (first,) = [x[1] for x in pull(d, 10, "probe")]
             d.probed(20, first, "ok", 0.0, 5.0)
@@ -500,7 +503,7 @@
     for gone in (0, 1):
         d = dispatcher(nodes=40, probes=True)
         d.listed(10, True, rows(1))
-        d.endpoints.mean, d.endpoints.slots = 5_000, {"std": 4.0}
+        d.endpoints.load.mean_work, d.endpoints.load.slots_by_kind = 5_000, {"std": 4.0}
         for i in range(40):
             for told in (False, True):
                 f = SimpleNamespace(
@@ -511,7 +514,7 @@
                     reported_wait=3_000 * (not told),
                 )
                 took = 20 if told or gone else 3_000
-                d.endpoints.began(d.endpoints.by_id[1], f.sent_at + took, f, took)
+                d.endpoints.on_start(d.endpoints.by_id[1], f.sent_at + took, f, took)
         d.probed(500_000, 1, "ok", 0.0, 8.0)
         waits.append(d.endpoints.by_id[1].expected_wait)
     assert waits[0] > 4_000 and waits[1] == 0
@@ -538,8 +541,8 @@
             sent_at=10_000 + i, opened_connection=False, expected_wait=0, had_free_slot=None, reported_wait=0
         )
         took = 20 if i == 0 else 3_000
-        d.endpoints.began(d.endpoints.by_id[i], f.sent_at + took, f, took)
-    assert d.endpoints.bias > 2_000 and d.endpoints.late[0] > 0.8
+        d.endpoints.on_start(d.endpoints.by_id[i], f.sent_at + took, f, took)
+    assert d.endpoints.lateness.excess > 2_000 and d.endpoints.lateness.at_home > 0.8
 
 
 def test_what_late_starts_taught_is_forgotten_when_nothing_is_sent_any_more():
@@ -557,7 +560,7 @@
                 reported_wait=0,
             )
             took = 20 if i == 0 else 12_000
-            d.endpoints.began(d.endpoints.by_id[i], 112_000, f, took)
+            d.endpoints.on_start(d.endpoints.by_id[i], 112_000, f, took)
             d.endpoints.by_id[i].ejected_until = 0
         start = 112_000 + int(still * 10_000)
         d.taken(start, 5, "op", None, start + 50_000, 1_000, 1)
@@ -621,13 +624,13 @@
 def test_a_keeper_without_a_word_is_left_for_the_next_and_a_word_lost_costs_no_executor():
     for outage in (range(6), (0,)):  # guards against a dead keeper that takes a zone's executors with it
         s = Several(6, rows(1, 2))
-        keeper = s.all[0].endpoints.keeper(("a", 0), 10)
+        keeper = s.all[0].endpoints.coordinators.node_for(("a", 0), 10)
         s.lost = lambda by, to: keeper in (by, to) and to in (keeper, *outage)
         asker = next(i for i in range(6) if i != keeper)
         s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
         done = s.go(10, 2_400)
         assert len(forwards(done)) == 1 and 1_000 < done[0][0] < 1_200
-        book = s.all[s.all[asker].endpoints.keeper(("a", 0), 1_500)].endpoints
+        book = s.all[s.all[asker].endpoints.coordinators.node_for(("a", 0), 1_500)].endpoints
         assert sum(e.slots_in_use for e in book.healthy) == 1
         s.all[asker].ended(2_400, 5, 0, Outcome.SUCCEEDED, True)
         s.lost = lambda by, to: to == keeper
@@ -638,7 +641,7 @@
 def test_what_was_lent_comes_back_when_its_invocation_has_left_or_its_node_is_dead():
     for dead in (False, True):  # guards against books that fill up with work that nobody has
         s = Several(4, rows(1))
-        keeper = s.all[0].endpoints.keeper(("a", 0), 10)
+        keeper = s.all[0].endpoints.coordinators.node_for(("a", 0), 10)
         asker = (keeper + 1) % 4
         e = s.all[keeper].endpoints.by_id[1]
         s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
@@ -655,7 +658,7 @@
 def test_the_own_list_goes_before_what_another_node_lends():
     for state, sent in (("draining", 0), ("gone", 0), ("healthy", 1)):  # rule 3 is each node's own
         s = Several(4, rows(1))
-        asker = (s.all[0].endpoints.keeper(("a", 0), 10) + 1) % 4
+        asker = (s.all[0].endpoints.coordinators.node_for(("a", 0), 10) + 1) % 4
         s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
         s.go(10, 20)
         s.all[asker].listed(25, False, rows(1, state=state))
@@ -665,7 +668,7 @@
 def test_a_word_that_is_odd_repeated_or_late_does_no_harm():
     d = dispatcher(nodes=4, me=0, split=1)
     d.listed(10, True, rows(1, 2))
-    d.endpoints.keeper = lambda group, now, silent=False: 0
+    d.endpoints.coordinators.node_for = lambda group, now: 0
     rank = d.endpoints.healthy[0].rank
     plain = ("ask", 7, rank, 40_000, 1_000, 0, 1, 0, 0, 0, 0)
     for by, word in (
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,20 +11,22 @@
 from benchmarks.cold import Round
 from grebedyke.model.outcome import Outcome
 from grebedyke.policy.endpoint_table import EndpointTable
+from grebedyke.policy.slow_start import SlowStart
 
 SECONDS = 18  # through the replacement, the burst and most restarts of the nodes
 
 
-def without_weights(self, e, now, *more, spare=EndpointTable.spare):
-    weight, self.total_weight = self.total_weight, 0
+def without_weights(self, endpoint, now, endpoints, unbroken=SlowStart.is_due):
+    weight = endpoints.total_weight
+    endpoints.total_weight = 0
     try:
-        return spare(self, e, now, *more)
+        return unbroken(self, endpoint, now, endpoints)
     finally:
-        self.total_weight = weight
+        endpoints.total_weight = weight
 
 
-def with_what_was_turned_away(self, e, now, outcome, op=None, failed=EndpointTable.failed):
-    failed(self, e, now, outcome, op)
+def with_rejected_attempts(self, endpoint, now, outcome, operation=None, unbroken=EndpointTable.on_failure):
+    unbroken(self, endpoint, now, outcome, operation)
     if outcome == Outcome.REJECTED:
         self.sends.add(now)
 
@@ -46,13 +48,13 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "broken"),
+    ("rule", "name", "broken"),
     (
-        ("spare", lambda self, e, now, *more: True),
-        ("spare", without_weights),
-        ("failed", with_what_was_turned_away),
+        (SlowStart, "is_due", lambda self, endpoint, now, endpoints: True),
+        (SlowStart, "is_due", without_weights),
+        (EndpointTable, "on_failure", with_rejected_attempts),
     ),
 )
-def test_a_broken_build_is_seen(monkeypatch, name, broken):
-    monkeypatch.setattr(EndpointTable, name, broken)
+def test_a_broken_build_is_seen(monkeypatch, rule, name, broken):
+    monkeypatch.setattr(rule, name, broken)
     assert len(Round(7, 30, SECONDS).run().over) > 4
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -221,7 +221,7 @@
         scene.place.desk.peers.send = lambda to, body: asks.update(
             {words.unpack(body)[1]: words.unpack(body)} if words.unpack(body)[0] == "ask" else {}
         )
-        fleet.keeper = lambda group, now, silent=False: 1
+        fleet.coordinators.node_for = lambda group, now: 1
         clients = scene.clients(number)
         scene.hand_in(clients)
         await until(lambda: len(asks) == number and len(scene.held()) == number, "the asks")
@@ -230,7 +230,7 @@
         for number, ask in asks.items():
             scene.place.turn.put(scene.place.desk.heard, 1, words.pack("lend", number, ask[2]))
         await until(lambda: not scene.place.turn.inbox)
-        fleet.keeper = lambda group, now, silent=False: 0
+        fleet.coordinators.node_for = lambda group, now: 0
         return await scene.finish()
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -94,7 +94,7 @@
     assert d.by_hand(5_010, "s-1", True) and goes_to(5_020) == {"s-2"}
     # What was asked before the call, and what another node lends after it, are no way round either.
     e = d.endpoints.by_id["s-1"]
-    assert not d.endpoints.ready(e, 5_030)
+    assert not d.endpoints.is_ready(e, 5_030)
     # One call back undoes both.
     assert d.by_hand(6_000, "s-1", False) and {x for n in range(99) for x in goes_to(90_000 + 50 * n)} == {
         "s-1",
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -679,7 +679,9 @@
 
     def seen(d):
         shown = {}
-        for part in (d, d.endpoints, d.cutoffs, d.quotas):
+        table = d.endpoints
+        rules = table.slow_start, table.credit, table.load, table.speeds, table.lateness, table.coordinators
+        for part in (d, table, *rules, d.cutoffs, d.quotas):
             for name, value in vars(part).items():
                 if isinstance(value, (int, float, str, bool)) and name not in (
                     "number",
