--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,7 +1,8 @@
-"""The budget for further forwards (rule 5), reckoned here by lists of times without the module's rings."""
+"""The retry budget (rule 5), judged here by lists of times and not by counters of buckets."""
 
 import asyncio
 import random
+from typing import NamedTuple
 
 import orjson
 import pytest
@@ -15,182 +16,242 @@
 from grebedyke.service.assembly import assemble
 from grebedyke.service.switch import switch
 
-WINDOW = 50_000
-
-
-def test_what_may_go_by_what_was_taken_and_sent():
-    for free, share, taken, sent, now, left in (
-        (2, 0.2, [], [], 0, 2),
-        (2, 0.2, [0] * 10, [], 0, 4),
-        (2, 0.2, [0] * 10, [0, 0, 0], 0, 1),
-        (0, 0.1, [0] * 9, [], 0, 0.9),
-        (0, 0, [0] * 99, [], 0, 0),
-        (2, 0, [], [0, 0], WINDOW - 1, 0),
-        # At the edge what was taken leaves before, what was sent after the window's end, by a bucket.
-        (2, 0.2, [0] * 10, [], WINDOW, 2),
-        (2, 0, [], [0, 0], WINDOW, 0),
-        (2, 0, [], [0], 1.05 * WINDOW, 2),
-        (1, 0.5, [30_000] * 4, [0, 30_000], 1.05 * WINDOW, 2),
-    ):
-        budget = RetryBudget(free, share, WINDOW)
-        for at, ring in sorted(
-            [(t, budget.requests) for t in taken] + [(t, budget.retries) for t in sent], key=lambda x: x[0]
-        ):
-            ring.add(at)
-        assert budget.available(int(now)).left == pytest.approx(left), (free, share, taken, sent, now)
-
-
-def test_no_further_forward_beyond_it_and_an_answer_at_once():
-    for effect, word in (
-        (Effect.IDEMPOTENT, "throttle"),
-        (Effect.KEYED, "error"),
-        (Effect.NON_IDEMPOTENT, "throttle"),
-    ):
-        # A deduplicated one that may have run is not throttled where its group is a zone.
-        outcome = Outcome.REJECTED if effect == Effect.NON_IDEMPOTENT else Outcome.TIMEOUT
-        d = dispatcher(effect, budget=(1, 0, WINDOW), back=20_000)
-        d.listed(10, True, rows(1, 2, 3, 4))
-        for now, id, wanted in ((20, 1, "forward"), (900, 2, word)):
-            d.taken(now, id, "op", None, now + 50_000, 1_000, 1)
-            assert [x[0] for x in pull(d, now)] == ["forward"]
-            d.ended(now + 10, id, 0, outcome, False)
-            assert [x[0] for x in pull(d, now + 10)] == [wanted]
-
-
-def check(taken, sent, free, share, now):
-    """By the rule's words; the sending under way is in `sent` already."""
-    made = sum(now - WINDOW <= t <= now for t in sent)
-    assert made <= free + share * sum(now - WINDOW < t <= now for t in taken), (now, made, sent, taken)
+WINDOW = 50_000  # ticks
+
+
+class Terms(NamedTuple):
+    """The settings of a budget, as RetryBudget takes them."""
+
+    floor: float
+    ratio: float
+    window: int
+
+
+class Case(NamedTuple):
+    """What a budget leaves at `now`, after requests and retries at these times."""
+
+    floor: float
+    ratio: float
+    requests: list
+    retries: list
+    now: float
+    left: float
+
+
+CASES = (
+    Case(2, 0.2, requests=[], retries=[], now=0, left=2),
+    Case(2, 0.2, requests=[0] * 10, retries=[], now=0, left=4),
+    Case(2, 0.2, requests=[0] * 10, retries=[0, 0, 0], now=0, left=1),
+    Case(0, 0.1, requests=[0] * 9, retries=[], now=0, left=0.9),
+    Case(0, 0, requests=[0] * 99, retries=[], now=0, left=0),
+    Case(2, 0, requests=[], retries=[0, 0], now=WINDOW - 1, left=0),
+    # At the edge requests leave before the window's end and retries after it, by a bucket.
+    Case(2, 0.2, requests=[0] * 10, retries=[], now=WINDOW, left=2),
+    Case(2, 0, requests=[], retries=[0, 0], now=WINDOW, left=0),
+    Case(2, 0, requests=[], retries=[0], now=1.05 * WINDOW, left=2),
+    Case(1, 0.5, requests=[30_000] * 4, retries=[0, 30_000], now=1.05 * WINDOW, left=2),
+)
+
+
+@pytest.mark.parametrize("case", CASES)
+def test_what_is_left_by_the_requests_and_retries_counted(case):
+    budget = RetryBudget(case.floor, case.ratio, WINDOW)
+    counted = [(time, budget.requests) for time in case.requests]
+    counted += [(time, budget.retries) for time in case.retries]
+    for time, counter in sorted(counted, key=lambda pair: pair[0]):
+        counter.add(time)
+    assert budget.available(int(case.now)).left == pytest.approx(case.left)
+
+
+@pytest.mark.parametrize(
+    ("effect", "answer"),
+    ((Effect.IDEMPOTENT, "throttle"), (Effect.KEYED, "error"), (Effect.NON_IDEMPOTENT, "throttle")),
+)
+def test_no_retry_beyond_it_and_an_answer_at_once(effect, answer):
+    """A request that may not be retried for want of budget would wait in vain until its client gives up.
+
+    The first request spends the budget; the second one is answered when its first attempt ends. A keyed one
+    that may have run is not throttled, as its idempotency group is a zone and not the whole fleet.
+    """
+    outcome = Outcome.REJECTED if effect == Effect.NON_IDEMPOTENT else Outcome.TIMEOUT
+    d = dispatcher(effect, budget=Terms(1, 0, WINDOW), back=20_000)
+    d.listed(10, True, rows(1, 2, 3, 4))
+    for now, id, wanted in ((20, 1, "forward"), (900, 2, answer)):
+        d.taken(now, id, "op", None, now + 50_000, 1_000, 1)
+        assert [x[0] for x in pull(d, now)] == ["forward"]
+        d.ended(now + 10, id, 0, outcome, False)
+        assert [x[0] for x in pull(d, now + 10)] == [wanted]
+
+
+def assert_within_budget(now, terms, requests, retries):
+    """The rule's own words, by lists of times; the retry under way is in `retries` already."""
+    sent = sum(now - WINDOW <= time <= now for time in retries)
+    taken = sum(now - WINDOW < time <= now for time in requests)
+    assert sent <= terms.floor + terms.ratio * taken, (now, sent, retries, requests)
 
 
 class Play:
-    """A node under chance: takings, ends of forwards, new settings, successors; judged at each send."""
+    """A node under drawn inputs: requests, ends of attempts, reloads, successors; judged at each retry.
+
+    Attributes:
+        random: Source of all draws.
+        terms: The budget's settings in force.
+        dispatcher: The node's Dispatcher.
+        now: The time in ticks.
+        open_attempts: (request, attempt number) of the attempts that have not ended.
+        requests: Times at which requests came.
+        retries: Times at which retries were sent.
+    """
+
+    FIRST_TERMS = (
+        Terms(2, 0.2, WINDOW),
+        Terms(0, 0.1, WINDOW),
+        Terms(5, 0, WINDOW),
+        Terms(1, 1.5, WINDOW),
+    )
+    RELOADED_TERMS = (Terms(1, 0.1, WINDOW), Terms(3, 0.3, WINDOW), Terms(0, 0, 0))
+    OUTCOMES = (
+        Outcome.SUCCEEDED,
+        Outcome.REJECTED,
+        Outcome.REJECTED,
+        Outcome.REJECTED,
+        Outcome.FAILED,
+        Outcome.CONNECTION_RESET,
+    )
 
     def __init__(self, seed):
         self.random = random.Random(seed)
-        self.terms = self.random.choice(
-            ((2, 0.2, WINDOW), (0, 0.1, WINDOW), (5, 0, WINDOW), (1, 1.5, WINDOW))
-        )
-        self.d = dispatcher(
-            self.random.choice((Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT)),
-            budget=self.terms,
-            seed=seed,
-            cancels=seed % 2 == 0,
-        )
-        self.now, self.out, self.taken, self.sent, self.count = 10, [], [], [], 0
-        self.d.listed(10, True, rows(*range(6)))
-
-    def pull(self):
-        for kind, *rest in pull(self.d, self.now):
-            if kind == "forward":
-                n = len(self.d.requests[rest[0]].attempts) - 1
-                self.out.append((rest[0], n))
-                if n:
-                    self.sent.append(self.now)
-                    if self.terms[2]:
-                        check(self.taken, self.sent, *self.terms[:2], self.now)
+        self.terms = self.random.choice(self.FIRST_TERMS)
+        effect = self.random.choice((Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT))
+        self.dispatcher = dispatcher(effect, budget=self.terms, seed=seed, cancels=seed % 2 == 0)
+        self.now = 10
+        self.open_attempts = []
+        self.requests = []
+        self.retries = []
+        self.dispatcher.listed(self.now, True, rows(*range(6)))
 
     def step(self):
+        """Lets time pass and something happen, then judges what the node sends."""
         draw = self.random.random()
         self.now += self.random.choice((0, 1, 50, 400, 3_000) if draw < 0.98 else (WINDOW - 1, WINDOW))
         if draw < 0.5:
-            self.count += 1
-            self.taken.append(self.now)
-            self.d.taken(self.now, self.count, "op", None, self.now + 50_000, self.random.choice((0, 900)), 1)
-        elif draw < 0.95 and self.out:
-            id, n = self.out.pop(self.random.randrange(len(self.out)))
-            self.d.ended(
-                self.now,
-                id,
-                n,
-                self.random.choice(
-                    (
-                        Outcome.SUCCEEDED,
-                        Outcome.REJECTED,
-                        Outcome.REJECTED,
-                        Outcome.REJECTED,
-                        Outcome.FAILED,
-                        Outcome.CONNECTION_RESET,
-                    )
-                ),
-                False,
-            )
+            self.hand_in()
+        elif draw < 0.95 and self.open_attempts:
+            self.end_an_attempt()
         elif draw < 0.97:
-            # New terms, shorter, longer, none or again some: what went before is in the window.
-            self.terms = self.random.choice(((1, 0.1, WINDOW), (3, 0.3, WINDOW), (0, 0, 0)))
-            switch(self.now, self.d, dispatcher(budget=self.terms))
+            self.reload()
         elif draw < 0.98:
-            # A new process: what is out ends at the old one, which sends nothing more.
-            books, old = orjson.loads(orjson.dumps(self.d.retry_budget.export_state())), self.d
-            for id, n in self.out:
-                old.ended(self.now, id, n, Outcome.REJECTED, False)
-            sent = {id for _, id, *_ in pull(old, self.now, "forward")}
-            assert not self.terms[2] or not any(len(old.requests[id].attempts) > 1 for id in sent)
-            self.d, self.out = dispatcher(budget=self.terms), []
-            self.d.listed(self.now, True, rows(*range(6)))
-            self.d.retry_budget.import_state(self.now, *books)
-        self.pull()
+            self.hand_over()
+        self.judge()
+
+    def judge(self):
+        """Carries out what the node decides; each retry has to be within the budget."""
+        for kind, *rest in pull(self.dispatcher, self.now):
+            if kind != "forward":
+                continue
+            number = len(self.dispatcher.requests[rest[0]].attempts) - 1
+            self.open_attempts.append((rest[0], number))
+            if number > 0:
+                self.retries.append(self.now)
+                if self.terms.window:
+                    assert_within_budget(self.now, self.terms, self.requests, self.retries)
+
+    def hand_in(self):
+        """A client hands in a request."""
+        self.requests.append(self.now)
+        hint = self.random.choice((0, 900))
+        self.dispatcher.taken(self.now, len(self.requests), "op", None, self.now + 50_000, hint, 1)
+
+    def end_an_attempt(self):
+        """An attempt ends, mostly rejected."""
+        request, number = self.open_attempts.pop(self.random.randrange(len(self.open_attempts)))
+        self.dispatcher.ended(self.now, request, number, self.random.choice(self.OUTCOMES), False)
+
+    def reload(self):
+        """Other settings: shorter, longer, none or again some; what went before is in the window."""
+        self.terms = self.random.choice(self.RELOADED_TERMS)
+        switch(self.now, self.dispatcher, dispatcher(budget=self.terms))
+
+    def hand_over(self):
+        """A new process goes on; what is open ends at the old one, which sends no retry any more."""
+        old = self.dispatcher
+        state = orjson.loads(orjson.dumps(old.retry_budget.export_state()))
+        for request, number in self.open_attempts:
+            old.ended(self.now, request, number, Outcome.REJECTED, False)
+        sent = {id for _, id, *_ in pull(old, self.now, "forward")}
+        assert not self.terms.window or not any(len(old.requests[id].attempts) > 1 for id in sent)
+        self.open_attempts = []
+        self.dispatcher = dispatcher(budget=self.terms)
+        self.dispatcher.listed(self.now, True, rows(*range(6)))
+        self.dispatcher.retry_budget.import_state(self.now, *state)
 
 
 def test_no_sequence_of_inputs_goes_beyond_it():
-    further = 0
+    retries = 0
     for seed in range(2_000):
         play = Play(seed)
         for _ in range(60):
             play.step()
-        further += len(play.sent)
-    assert further > 5_000  # else nothing was tried
+        retries += len(play.retries)
+    assert retries > 5_000  # else nothing was tried
 
 
-def test_a_process_that_has_given_its_budget_away_or_lost_its_heir_waits_a_window():
-    old, new = RetryBudget(3, 0, WINDOW), RetryBudget(3, 0, WINDOW)
+def test_a_process_without_its_budget_or_its_successor_waits_a_window():
+    """Two processes of one node are one to the rule, so the one that has given its budget away sends none.
+
+    Where its successor dies it does not know what that one sent. A process whose predecessor says nothing of
+    its budget, or whose counts reach less far back than the window, does not know either.
+    """
+    old = RetryBudget(3, 0, WINDOW)
+    new = RetryBudget(3, 0, WINDOW)
     old.retries.add(100)
     new.import_state(200, *old.export_state())
     assert old.available(300).left == 0 and new.available(300).left == 2
     new.on_other_process_gone(300)  # its old process has ended
     assert new.available(300).left == 2
-    old.on_other_process_gone(400)  # the heir has died, and may have sent as many
+    old.on_other_process_gone(400)  # the successor has died
     assert old.available(WINDOW).left == 0 and old.available(400 + WINDOW * 21 // 20).left == 3
-    # A predecessor that says nothing of its budget, and rings too short for a longer window.
-    for books in (((), (), 0, 0), (*old.export_state()[:3], FOREVER)):
+    for state in (((), (), 0, 0), (*old.export_state()[:3], FOREVER)):
         late = RetryBudget(3, 0, WINDOW)
-        late.import_state(400, *books)
+        late.import_state(400, *state)
         assert late.available(WINDOW).left == 0
 
 
-def test_its_terms_are_refused_by_their_key():
-    def terms(**rules):
-        return {**TERMS, "rules": {**TERMS["rules"], **rules}}
-
-    whole = {"extraFloor": 2, "resendRatio": 0.2, "lookBackMs": 5000}
-    assert configuration.terms(terms(**whole))["rules"]["lookBackMs"] == 5000
-    cases = [
-        ({**whole, key: value}, key, "out of its range")
-        for key, value in (
-            ("extraFloor", -1),
-            ("resendRatio", -0.1),
-            ("resendRatio", "17 %"),
-            ("lookBackMs", 0),
-            ("lookBackMs", True),
-        )
-    ]
-    cases += [({k: v for k, v in whole.items() if k != key}, key, "is missing") for key in whole]
-    cases += [
-        ({key: whole[key]}, other, "is missing")
-        for key, other in (
-            ("extraFloor", "resendRatio"),
-            ("resendRatio", "extraFloor"),
-            ("lookBackMs", "extraFloor"),
-        )
-    ]
-    for rules, key, word in cases:
-        with pytest.raises(configuration.ConfigurationError) as problem:
-            configuration.terms(terms(**rules), "settings.")
-        assert f"settings.rules.{key} " in str(problem.value) and word in str(problem.value), rules
+COMPLETE = {"extraFloor": 2, "resendRatio": 0.2, "lookBackMs": 5000}
+FAULTY_RULES = (
+    # (rules, key that the refusal names, what it says)
+    ({**COMPLETE, "extraFloor": -1}, "extraFloor", "out of its range"),
+    ({**COMPLETE, "resendRatio": -0.1}, "resendRatio", "out of its range"),
+    ({**COMPLETE, "resendRatio": "17 %"}, "resendRatio", "out of its range"),
+    ({**COMPLETE, "lookBackMs": 0}, "lookBackMs", "out of its range"),
+    ({**COMPLETE, "lookBackMs": True}, "lookBackMs", "out of its range"),
+    ({"resendRatio": 0.2, "lookBackMs": 5000}, "extraFloor", "is missing"),
+    ({"extraFloor": 2, "lookBackMs": 5000}, "resendRatio", "is missing"),
+    ({"extraFloor": 2, "resendRatio": 0.2}, "lookBackMs", "is missing"),
+    ({"extraFloor": 2}, "resendRatio", "is missing"),
+    ({"resendRatio": 0.2}, "extraFloor", "is missing"),
+    ({"lookBackMs": 5000}, "extraFloor", "is missing"),
+)
+
+
+def settings_with(rules):
+    """Returns settings with these rules beside the required ones."""
+    return {**TERMS, "rules": {**TERMS["rules"], **rules}}
+
 
+def test_complete_settings_are_taken():
+    assert configuration.terms(settings_with(COMPLETE))["rules"]["lookBackMs"] == 5000
 
-class Refusing(Executor):
-    """A stand-in that turns every job away."""
+
+@pytest.mark.parametrize(("rules", "key", "problem"), FAULTY_RULES)
+def test_its_settings_are_refused_by_their_key(rules, key, problem):
+    with pytest.raises(configuration.ConfigurationError) as refusal:
+        configuration.terms(settings_with(rules), "settings.")
+    assert f"settings.rules.{key} " in str(refusal.value) and problem in str(refusal.value)
+
+
+class RejectingExecutor(Executor):
+    """An emulator that turns every job away."""
 
     async def talk(self, reader, writer):
         while await reader.readline():
@@ -200,46 +261,97 @@
             writer.write(b"HTTP/1.1 503 no\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 
 
-def test_sighup_adds_changes_and_drops_it_on_sockets(tmp_path):
-    # Guards against terms that a running node keeps: the rule binds from the reload on, whatever went before.
-    async def story():
-        address, file = ("127.0.0.1", free_port()), tmp_path / "config.json"
-        workers = [await Refusing().start() for _ in range(4)]
-        known = {
-            "index": 1,
-            "endpoints": [{**ROW, "name": f"s-{i}", "address": w.address} for i, w in enumerate(workers)],
-        }
-
-        def write(**rules):
-            settings = {**TERMS, "operations": EFFECTS, "rules": {**TERMS["rules"], **rules}}
-            file.write_bytes(orjson.dumps(told(listen="%s:%d" % address, known=known, settings=settings)))
-
-        def read():
-            return configuration.read_node({"BALANCER_CONFIG": str(file)})
-
-        write()
-        work = assemble(asyncio.get_running_loop(), read(), read)
-        serving = asyncio.create_task(work.serve())
-        while work.phase != node.Phase.SERVING:
+class ReloadedNode:
+    """A node on sockets among executors that reject all; its rules change while it runs.
+
+    Attributes:
+        executors: The RejectingExecutors.
+        address: Where the node listens.
+        file: Its configuration file.
+        node: The running Node.
+        serving: The task that runs it.
+    """
+
+    def __init__(self, folder):
+        self.executors = [RejectingExecutor() for _ in range(4)]
+        self.address = ("127.0.0.1", free_port())
+        self.file = folder / "config.json"
+        self.node = None
+        self.serving = None
+
+    async def start(self):
+        """Starts executors and node and waits until it serves."""
+        for executor in self.executors:
+            await executor.start()
+        self.write({})
+        self.node = assemble(asyncio.get_running_loop(), self.read(), self.read)
+        self.serving = asyncio.create_task(self.node.serve())
+        while self.node.phase != node.Phase.SERVING:
             await asyncio.sleep(0.01)
-        made = []
-        one = {"extraFloor": 1, "resendRatio": 0, "lookBackMs": 9000}
-        for i, rules in enumerate(({}, one, {**one, "extraFloor": 5}, {"extraFloor": 9}, {})):
-            write(**rules)
-            work.reload()
-            before = sum(w.seen.qsize() for w in workers)
-            for e in work.desk.dispatcher.endpoints.healthy:
-                e.rejected_until, e.ejected_until, e.credit = {}, 0, 2.0
-            answer = await one_answer(address, "unsafe", f"r-{i}")
-            assert answer.startswith(b"HTTP/1.1 503 ") and b"HTTP/1.1" not in answer[8:], answer
-            made.append(sum(w.seen.qsize() for w in workers) - before)
-        work.stop()
-        await serving
-        for worker in workers:
-            worker.server.close()
-        return made
+
+    def write(self, rules):
+        """Writes the configuration file with these rules."""
+        endpoints = [
+            {**ROW, "name": f"s-{number}", "address": executor.address}
+            for number, executor in enumerate(self.executors)
+        ]
+        settings = {**settings_with(rules), "operations": EFFECTS}
+        known = {"index": 1, "endpoints": endpoints}
+        self.file.write_bytes(
+            orjson.dumps(told(listen="%s:%d" % self.address, known=known, settings=settings))
+        )
+
+    def read(self):
+        """Reads the configuration file as the node does."""
+        return configuration.read_node({"BALANCER_CONFIG": str(self.file)})
+
+    async def attempts_after_reload(self, rules, request_id):
+        """Reloads with these rules, hands in a request and returns how many attempts were made of it."""
+        self.write(rules)
+        self.node.reload()
+        before = self._received()
+        for endpoint in self.node.desk.dispatcher.endpoints.healthy:
+            # As if it had never rejected anything, so that only the budget limits attempts.
+            endpoint.rejected_until = {}
+            endpoint.ejected_until = 0
+            endpoint.credit = 2.0
+        answer = await one_answer(self.address, "unsafe", request_id)
+        assert answer.startswith(b"HTTP/1.1 503 ") and b"HTTP/1.1" not in answer[8:], answer
+        return self._received() - before
+
+    async def stop(self):
+        """Stops node and executors."""
+        self.node.stop()
+        await self.serving
+        for executor in self.executors:
+            executor.server.close()
+
+    def _received(self):
+        return sum(executor.seen.qsize() for executor in self.executors)
+
+
+def test_sighup_adds_changes_and_drops_it_on_sockets(tmp_path):
+    """A running node that kept its old settings would go on sending retries that the operators forbid.
+
+    The rule binds from the reload on, whatever went before.
+    """
+    one_retry = {"extraFloor": 1, "resendRatio": 0, "lookBackMs": 9000}
+    reloads = (
+        ({}, 5),  # no rule: as many attempts as the settings allow
+        (one_retry, 1),  # spent already
+        ({**one_retry, "extraFloor": 5}, 2),  # one is left
+        ({"extraFloor": 9}, 1),  # half a rule is refused, and the five are spent
+        ({}, 5),
+    )
+
+    async def play():
+        reloaded = ReloadedNode(tmp_path)
+        await reloaded.start()
+        attempts = []
+        for number, (rules, _) in enumerate(reloads):
+            attempts.append(await reloaded.attempts_after_reload(rules, f"r-{number}"))
+        await reloaded.stop()
+        return attempts
 
     logger.remove()
-    # No rule: as many as the settings allow. One a window: spent already. Five: one is left. Half a rule is
-    # refused, and the five are spent.
-    assert asyncio.run(story()) == [5, 1, 2, 1, 5]
+    assert asyncio.run(play()) == [attempts for _, attempts in reloads]
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -42,7 +42,7 @@
 def test_no_window_of_a_cold_executor_is_over_its_bound(nodes, seeds):
     """An executor that has just started falls when all nodes together send it more than it bears.
 
-    Each node knows only what it sends itself. Drawn rounds replace executors, restart nodes and bring a burst.
+    Each node knows only what it sends itself. Drawn rounds replace executors, restart nodes, bring a burst.
     """
     with ProcessPoolExecutor(4) as beside:
         results = beside.map(play, seeds, repeat(nodes))
