--- a/grebedyke/policy/bounded_pareto.py
+++ b/grebedyke/policy/bounded_pareto.py
@@ -9,9 +9,9 @@
 from math import log
 from typing import NamedTuple
 
-# One of so many finished jobs, the shortest, is left out of a fit: such times say more of the host's
+# The smallest twentieth of the finished sizes is left out of a fit: such times say more of the host's
 # scheduling interval than of the job, and above a higher lower bound the distribution is the same.
-TAIL_TRIM = 20
+TRIM_DIVISOR = 20
 # The upper bound lies above the cutoff of each cut job and above the lower bound by this factor at least.
 UPPER_BOUND_MARGIN = 1.01
 FIT_STEPS = 30
@@ -57,7 +57,7 @@
         finished: Sizes of jobs that ran to their end, in ticks; at least one.
         cut: Sizes that other jobs had reached when they were cut, in ticks.
     """
-    ordered = sorted(finished)[len(finished) // TAIL_TRIM :]
+    ordered = sorted(finished)[len(finished) // TRIM_DIVISOR :]
     count = len(ordered)
     smallest = ordered[0]
     largest = max(ordered[-1], max(cut, default=0) * UPPER_BOUND_MARGIN, smallest * UPPER_BOUND_MARGIN)
--- a/grebedyke/policy/cutoff_search.py
+++ b/grebedyke/policy/cutoff_search.py
@@ -96,9 +96,9 @@
         self.uncuttable += UNCUTTABLE_SMOOTHING * ((not may_be_cut) - self.uncuttable)
 
     def on_cancel_observed(self, now, slot_freed):
-        """Counts what a cancel was seen to do; the first known effect is scored at once.
+        """Counts what a cancel was seen to do.
 
-        Waiting for the next fit instead would make cuts in vain until then.
+        Once the effect is known the next fit comes at once: until then cuts may be in vain.
         """
         if slot_freed:
             self.slots_freed += 1
@@ -189,7 +189,7 @@
         count = len(ranked)
         self.population = ranked[:ELITE]
         while len(self.population) < count:
-            # The paper's odds: a chance of (2 i + 1) / count^2 for those that i others are worse than.
+            # The paper's odds: a chance of (2 i + 1) / count^2 for the cutoffs that are better than i others.
             worse = int((self.random.draw() * count * count) ** 0.5)
             self.population.append(self._mutate(ranked[count - 1 - worse]))
 
--- a/grebedyke/policy/load_estimate.py
+++ b/grebedyke/policy/load_estimate.py
@@ -82,7 +82,10 @@
 
     def on_request(self, work):
         """Takes the size of an own request, in ticks, into the mean."""
-        self.mean_work += SMOOTHING * (work - self.mean_work) if self.mean_work else work
+        if self.mean_work:
+            self.mean_work += SMOOTHING * (work - self.mean_work)
+        else:
+            self.mean_work = float(work)
 
     def on_start(self, attempt, wait):
         """Learns from an own attempt how right the report was that it was sent by.
@@ -98,13 +101,19 @@
             self.when_free.observe(prompt)
         else:
             self.when_full.observe(prompt)
-            reported = attempt.reported_wait
-            self.usual_wait += SMOOTHING * (reported - self.usual_wait) if self.usual_wait else reported
+            self._take_reported_wait(attempt.reported_wait)
         expected = attempt.expected_wait
         if expected > 0:
             scale = self.scale * (1 + SMOOTHING * (wait - expected) / (wait + expected))
             self.scale = min(max(scale, MIN_SCALE), MAX_SCALE)
 
+    def _take_reported_wait(self, reported_wait):
+        """Takes a reported wait, in ticks, into the usual one."""
+        if self.usual_wait:
+            self.usual_wait += SMOOTHING * (reported_wait - self.usual_wait)
+        else:
+            self.usual_wait = float(reported_wait)
+
     def on_report(self, endpoint, free_slots, jobs):
         """Sets the endpoint's reported and expected wait.
 
@@ -117,8 +126,8 @@
         # All slots show when the widest request finds room: then none waits. In front of a queue whose head
         # needs several slots some are free too. The mean, as the most of noisy reports is too much.
         if free_slots >= self.widest_request:
-            slots += (SMOOTHING if slots > 1 else 1) * (free_slots + jobs - slots)
-            slots = max(slots, 1)
+            weight = SMOOTHING if slots > 1 else 1  # the first figure is taken as it is
+            slots = max(slots + weight * (free_slots + jobs - slots), 1)
             self.slots_by_kind[endpoint.kind] = slots
         if free_slots < FREE_THRESHOLD:
             waiting = max(jobs - slots, 0) + RESIDUAL_JOBS
@@ -126,7 +135,6 @@
         else:
             endpoint.reported_wait = 0
         gone_share = min(self.when_full.share / (self.when_free.share + MIN_SHARE), MAX_GONE_SHARE)
-        # That share of the usual waits is over by the time work arrives, if these are distributed
-        # exponentially.
+        # If waits are distributed exponentially, that share of them is over by the time work arrives.
         worked_off = -log(1 - gone_share) * self.usual_wait
         endpoint.expected_wait = max((endpoint.reported_wait - worked_off) * self.scale, 0)
--- a/grebedyke/policy/wait_model.py
+++ b/grebedyke/policy/wait_model.py
@@ -62,6 +62,7 @@
         load = workload.arrival_rate * work / tier.capacity if tier.capacity > 0 else inf
         if load >= 1:
             return inf
+        # Each endpoint gets its part of the arrivals and works at its part of the capacity.
         wait += workload.arrival_rate * work_squared * tier.endpoints / tier.capacity**2 / (2 * (1 - load))
         ending_here = (1 - workload.uncuttable) * distribution.partial_moment(0, low, high)
         total += wait * (ending_here + (workload.uncuttable if is_first else 0.0))
