--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -35,7 +35,7 @@
 from grebedyke.consensus import framing, records
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.maintenance.maintenance import Maintenance
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rig import limited, world
 from grebedyke.service import configuration
 from grebedyke.service.assembly import assemble
@@ -64,7 +64,7 @@
     calls = []
 
     class Dispatcher:
-        tells, fleet = True, SimpleNamespace(me=1, nodes=3)
+        uses_coordinators, endpoints = True, SimpleNamespace(node_number=1, node_count=3)
 
         def __getattr__(self, name):
             return lambda *arguments: calls.append(arguments)
@@ -238,7 +238,7 @@
         return self.node.desk.books()
 
     def banned(self):
-        return sorted(self.node.desk.dispatcher.fleet.banned)
+        return sorted(self.node.desk.dispatcher.endpoints.banned)
 
     def list_index(self):
         return self.node.watch.index
