--- a/grebedyke/policy/admission.py
+++ b/grebedyke/policy/admission.py
@@ -10,8 +10,6 @@
 from grebedyke.model.request import Request
 from grebedyke.policy.giving_up import latest_start
 
-MEAN_WORK_GAIN = 0.1
-UNCUTTABLE_GAIN = 0.05
 MAX_SLOTS = 64
 TOP_TIER = 1
 
@@ -27,7 +25,7 @@
         """Takes in a request of this node (`RequestArrived`)."""
         context = self._context
         # With coordinators the first of them finds out whether it is over quota.
-        over_quota = not context.uses_coordinators and context.quotas.over(now, event.tenant)
+        over_quota = not context.uses_coordinators and context.quotas.is_over_quota(now, event.tenant)
         request = self._open(now, event, over_quota)
         self._count(now, request)
         self._queue.add(request)
@@ -61,7 +59,7 @@
         if message.is_repeated:
             request.over_quota = bool(message.over_quota)
         else:
-            request.over_quota = context.quotas.over(now, tenant, len(context.endpoints.groups))
+            request.over_quota = context.quotas.is_over_quota(now, tenant, len(context.endpoints.groups))
         self._queue.add(request)
 
     def _open(self, now, event, over_quota, origin_node=None):
@@ -73,7 +71,7 @@
             operation=operation,
             arrived_at=now,
             deadline=event.deadline,
-            estimated_work=event.work_hint or operation.mean_work or endpoints.quick,
+            estimated_work=event.work_hint or operation.mean_work or endpoints.prompt_wait,
             work_hint=event.work_hint,
             slots=event.slots,
             over_quota=over_quota,
@@ -81,25 +79,22 @@
             origin_node=origin_node,
         )
         context.requests[request.id] = request
-        endpoints.widest = max(endpoints.widest, request.slots)
+        load = endpoints.load
+        load.widest_request = max(load.widest_request, request.slots)
         # A client's repeat keeps the deadline of its first try: the longest timeout shows when that came. A
         # client that allows little time looks the same; its requests would only end late.
         operation.longest_timeout = max(operation.longest_timeout, request.deadline - now)
         request.first_arrived_at = request.deadline - operation.longest_timeout
-        request.latest_start = latest_start(request, endpoints.pace, context.settings)
+        request.latest_start = latest_start(request, endpoints.speeds.mean_speed, context.settings)
         return request
 
     def _count(self, now, request):
         """Books a request of this node where the retry budget and the cutoff search look."""
         context = self._context
-        endpoints = context.endpoints
-        cutoffs = context.cutoffs
         capabilities = context.settings.capabilities
-        cutoffs.arrivals.add(now)
-        context.retry_budget.took.add(now)
-        work = request.estimated_work
-        endpoints.mean += MEAN_WORK_GAIN * (work - endpoints.mean) if endpoints.mean else work
+        context.retry_budget.requests.add(now)
+        context.endpoints.load.on_request(request.estimated_work)
         # Without start notices nothing shows what a cut gives back.
-        cuttable = capabilities.cancels and capabilities.start_notices
-        uncuttable = request.operation.effect != Effect.IDEMPOTENT or not cuttable
-        cutoffs.loose += UNCUTTABLE_GAIN * (uncuttable - cutoffs.loose)
+        cuts_are_known = capabilities.cancels and capabilities.start_notices
+        may_be_cut = request.operation.effect == Effect.IDEMPOTENT and cuts_are_known
+        context.cutoffs.on_arrival(now, may_be_cut)
--- a/grebedyke/policy/attempt_tracking.py
+++ b/grebedyke/policy/attempt_tracking.py
@@ -10,10 +10,6 @@
 from grebedyke.policy.giving_up import last_moment
 
 MEAN_WORK_GAIN = 0.05
-MAX_SLOTS = 64.0
-# Without start notices slots are learnt from reports: how fast, and the part of a slot that says "none free".
-SLOTS_GAIN = 0.05
-FREE_BY_CHANCE = 0.3
 
 
 class AttemptTracking:
@@ -38,7 +34,7 @@
         if attempt.granting_node is not None:
             message = SlotStarted(attempt.slot_request_number, took, event.opened_connection)
             context.send_to_peer(attempt.granting_node, message)
-        context.endpoints.began(endpoint, now, attempt, took)
+        context.endpoints.on_start(endpoint, now, attempt, took)
         self._cutting.start_clock(attempt, now)
         self._cutting.observe_start(attempt, now)
 
@@ -79,19 +75,16 @@
         elif not (request.queued or request.open_attempts or request.finished):
             if attempt.cut:
                 # It has run in vain and has all the time that is left for it.
-                work = int(request.estimated_work / context.endpoints.pace)
+                work = int(request.estimated_work / context.endpoints.speeds.mean_speed)
                 request.latest_start = last_moment(request, context.settings) - work
             self._queue.add(request)
 
     def _learn_slots(self, attempt, free_slots):
-        """Credit is the most slots seen free at once, and more while some are though all credit is in use."""
+        """Without start notices credit is learnt from the slots that reports show free."""
+        endpoints = self._context.endpoints
         endpoint = attempt.endpoint
-        known = self._context.endpoints.slots
-        slots = max(known.get(endpoint.kind, 1.0), round(free_slots))
-        if self._queue.waiting and endpoint.slots_in_use + attempt.request.slots >= int(slots):
-            slots += SLOTS_GAIN * (free_slots - FREE_BY_CHANCE)
-        slots = known[endpoint.kind] = min(max(slots, 1.0), MAX_SLOTS)
-        endpoint.credit = float(int(slots))
+        wanted = endpoint.slots_in_use + attempt.request.slots if self._queue.waiting else 0
+        endpoints.credit.on_free_slots(endpoint, free_slots, wanted, endpoints.load.slots_by_kind)
 
     def _learn_work(self, attempt, now):
         context = self._context
@@ -102,17 +95,18 @@
         endpoint.consecutive_failures = 0
         endpoint.rejected_until[operation] = 0
         running_time = max(now - (attempt.started_at or attempt.sent_at), 1)
-        context.endpoints.ran(endpoint, request.estimated_work, running_time, operation.mean_work)
+        speeds = context.endpoints.speeds
+        speeds.on_finished(endpoint, request.estimated_work, running_time, operation.mean_work)
         # Without hints work is the running time at the fleet's mean speed: else both would drift together.
-        work = running_time * endpoint.speed / (1.0 if request.work_hint else context.endpoints.pace)
+        work = running_time * endpoint.speed / (1.0 if request.work_hint else speeds.mean_speed)
         operation.mean_work += MEAN_WORK_GAIN * (work - operation.mean_work) if operation.mean_work else work
-        context.cutoffs.sizes.append(work)
+        context.cutoffs.finished_sizes.append(work)
 
     def _note_failure(self, attempt, now, outcome):
         context = self._context
         endpoint = attempt.endpoint
         request = attempt.request
-        context.endpoints.failed(endpoint, now, outcome, request.operation)
+        context.endpoints.on_failure(endpoint, now, outcome, request.operation)
         if attempt.cut and outcome == Outcome.CANCELLED:
-            context.cutoffs.capped.append(max(now - attempt.started_at, 1) * endpoint.speed)
+            context.cutoffs.cut_sizes.append(max(now - attempt.started_at, 1) * endpoint.speed)
             request.tier = endpoint.tier + 1
--- a/grebedyke/policy/cutting.py
+++ b/grebedyke/policy/cutting.py
@@ -10,8 +10,6 @@
 from grebedyke.model.actions import Cancel
 from grebedyke.model.outcome import Effect
 
-# Cuts whose effect has to be seen before cutting is done at large: not a whole refit's in vain.
-TRIAL_CUTS = 4
 # A slot counts as freed if waiting work began so many scheduling intervals after the least start time.
 FREED_WITHIN_INTERVALS = 2
 
@@ -32,7 +30,7 @@
         context = self._context
         attempt.started_at = started_at
         endpoint = attempt.endpoint
-        cutoffs = context.cutoffs.best
+        cutoffs = context.cutoffs.in_force
         # A peer's attempt is not this node's to cancel.
         if not cutoffs or endpoint.tier >= len(cutoffs) or attempt.start_allowance:
             return
@@ -55,15 +53,10 @@
         endpoint = attempt.endpoint
         if not endpoint.cut_at or attempt.sent_at >= endpoint.cut_at:
             return
-        cutoffs = self._context.cutoffs
         allowance = FREED_WITHIN_INTERVALS * self._context.settings.scheduling_interval
-        if now - endpoint.cut_at <= endpoint.start_floors[attempt.opened_connection] + allowance:
-            cutoffs.freed += 1
-        else:
-            cutoffs.kept += 1
+        slot_freed = now - endpoint.cut_at <= endpoint.start_floors[attempt.opened_connection] + allowance
+        self._context.cutoffs.on_cancel_observed(now, slot_freed)
         endpoint.cut_at = 0
-        if cutoffs.freed + cutoffs.kept == TRIAL_CUTS:
-            cutoffs.at = now  # refit at once
 
     def _pays(self, attempt, now):
         context = self._context
@@ -71,21 +64,21 @@
         request = attempt.request
         endpoint = attempt.endpoint
         own_work_waits = any(not other.started_at for other in endpoint.in_flight.values())
-        is_known = cutoffs.freed + cutoffs.kept >= TRIAL_CUTS
-        is_trial = cutoffs.trials < TRIAL_CUTS and own_work_waits and not endpoint.cut_at
+        is_known = cutoffs.cancel_effect_known
+        is_trial = cutoffs.trial_cuts_left and own_work_waits and not endpoint.cut_at
         # Cut only what may go again: a cut job that has to be given up has run for nothing.
         if not self._is_retry_affordable(request, now):
             return False
-        if attempt.ended or attempt.cancelled or request.finished or not cutoffs.best:
+        if attempt.ended or attempt.cancelled or request.finished or not cutoffs.in_force:
             return False
         if len(request.attempts) >= context.settings.limits.max_attempts or not (is_known or is_trial):
             return False
-        cutoffs.trials += not is_known
+        cutoffs.trial_cuts += not is_known
         if own_work_waits:
             endpoint.cut_at = now
         return True
 
     def _is_retry_affordable(self, request, now):
-        left, allowance = self._context.retry_budget.left(now)
+        left, allowance = self._context.retry_budget.available(now)
         limits = self._context.quotas.limits
         return left >= max(1, allowance / 2) and (not limits or limits.further(now, request))
--- a/grebedyke/policy/dispatcher.py
+++ b/grebedyke/policy/dispatcher.py
@@ -104,8 +104,9 @@
         if self.list_polling.is_due(now):
             yield PollEndpointList()
         if context.cutoffs.step(now, context.endpoints):
-            context.endpoints.assign_tiers(context.cutoffs.share if context.cutoffs.best else 0.0)
-            yield Note(context.cutoffs.why)
+            cutoffs = context.cutoffs
+            context.endpoints.assign_tiers(cutoffs.top_tier_share if cutoffs.in_force else 0.0)
+            yield Note(cutoffs.summary)
         yield from self.cutting.due(now)
         for attempt in self.lending.expired(now):
             self.tracking.ended(now, AttemptEnded(attempt.request.id, attempt.index, Outcome.TIMEOUT, True))
@@ -123,13 +124,11 @@
 
     def _other_wakes(self, now):
         soon = now + SOON_INTERVALS * self.context.settings.scheduling_interval
-        cutting = self.cutting.planned or self.context.cutoffs.left
+        cutting = self.cutting.planned or self.context.cutoffs.generations_left
         return self.list_polling.poll_at or inf, soon if cutting else inf
 
     def _on_probe_answered(self, now, event):
-        self.context.endpoints.probed(
-            now, event.endpoint_id, event.outcome, event.free_slots, event.held_work
-        )
+        self.context.endpoints.on_probe_answer(now, *event)
 
     def _on_client_left(self, now, event):
         request = self.context.requests.get(event.request_id)
@@ -143,7 +142,7 @@
 
     def _on_peer_message(self, now, event):
         endpoints = self.context.endpoints
-        is_peer = event.node != endpoints.me and 0 <= event.node < endpoints.nodes
+        is_peer = event.node != endpoints.node_number and 0 <= event.node < endpoints.node_count
         if self.context.uses_coordinators and is_peer:
             self._peer_handlers[type(event.message)](now, event.node, event.message)
 
--- a/grebedyke/policy/endpoint_selection.py
+++ b/grebedyke/policy/endpoint_selection.py
@@ -19,7 +19,7 @@
     def is_eligible(self, request, endpoint, now):
         """Whether the endpoint runs such requests at all, at the moment."""
         return (
-            (not self._context.cutoffs.best or endpoint.tier == request.tier)
+            (not self._context.cutoffs.in_force or endpoint.tier == request.tier)
             and endpoint.rejected_until.get(request.operation, 0) <= now
             and request.operation.endpoint_kind in (None, endpoint.kind)
             and (not request.attempts or self._eligibility.is_allowed(request, endpoint, now))
@@ -32,7 +32,7 @@
         if context.settings.weighs_by_work:
             work = request.estimated_work
             relative_price = (request.operation.mean_work or work) / work
-        share = context.endpoints.cross * relative_price
+        share = context.endpoints.crossing_price * relative_price
         return request.arrived_at + share * (request.latest_start - request.arrived_at)
 
     def choose(self, request, candidates, now, by_reports):
@@ -84,11 +84,11 @@
     def _started_in_time(self, request, pool, now, left):
         endpoints = self._context.endpoints
         work = request.estimated_work
-        lag = endpoints.lag(now)
+        lag = endpoints.lateness.excess_wait(now)
         return [
             endpoint
             for endpoint in pool
-            if endpoint.expected_wait + lag <= max(left - work / endpoint.speed, endpoints.quick)
+            if endpoint.expected_wait + lag <= max(left - work / endpoint.speed, endpoints.prompt_wait)
         ]
 
     def _ended_in_time(self, request, pool, now, left):
--- a/grebedyke/policy/list_polling.py
+++ b/grebedyke/policy/list_polling.py
@@ -28,7 +28,7 @@
         """Plans the next poll (`EndpointListUnavailable`)."""
         context = self._context
         if context.settings.capabilities.polls_list:
-            seconds = min(SPREAD_PER_NODE * context.endpoints.nodes, MAX_SPREAD) * 2**self.failures
+            seconds = min(SPREAD_PER_NODE * context.endpoints.node_count, MAX_SPREAD) * 2**self.failures
             self.failures = min(self.failures + 1, MAX_DOUBLINGS)
             self.poll_at = now + int(TICKS_PER_SECOND * seconds * context.random.draw()) + 1
 
--- a/grebedyke/policy/placement.py
+++ b/grebedyke/policy/placement.py
@@ -52,7 +52,7 @@
             endpoint = self._rules.selection.choose(request, candidates, now, by_reports=False)
         if endpoint:
             attempt = self._begin_attempt(request, endpoint, now, granting_node)
-            if endpoint in candidates and not self._context.endpoints.ready(endpoint, now):
+            if endpoint in candidates and not self._context.endpoints.is_ready(endpoint, now):
                 candidates.remove(endpoint)
             yield self._sent(attempt, now)
         else:
@@ -62,7 +62,7 @@
         """Places a request by what the endpoints probed for it reported."""
         rules = self._rules
         probed = request.probed_endpoints
-        ready = self._context.endpoints.ready
+        ready = self._context.endpoints.is_ready
         candidates = [endpoint for endpoint in probed if not endpoint.probe_sent_at and ready(endpoint, now)]
         awaits_report = now < request.next_search_at and any(endpoint.probe_sent_at for endpoint in probed)
         endpoint, granting_node = request.reservation or (None, None)
@@ -97,14 +97,14 @@
         start = int(self._context.random.draw() * len(members))
         from_start = members[start:] + members[:start]
         return list(
-            islice((endpoint for endpoint in from_start if endpoints.ready(endpoint, now)), MAX_CANDIDATES)
+            islice((endpoint for endpoint in from_start if endpoints.is_ready(endpoint, now)), MAX_CANDIDATES)
         )
 
     def _begin_attempt(self, request, endpoint, now, granting_node):
         """Books the attempt wherever it counts."""
         context = self._context
         if request.attempts and request.origin_node is None:
-            context.retry_budget.again.add(now)
+            context.retry_budget.retries.add(now)
             if context.quotas.limits:
                 context.quotas.limits.again(now, request)
         attempt = Attempt(request, endpoint, now, granting_node)
--- a/grebedyke/policy/probing.py
+++ b/grebedyke/policy/probing.py
@@ -32,7 +32,7 @@
         endpoints = context.endpoints
         if not context.settings.capabilities.probes:
             return False
-        return context.cutoffs.arrivals.total(now) * endpoints.mean < TICKS_PER_SECOND * len(
+        return context.cutoffs.arrivals.total(now) * endpoints.load.mean_work < TICKS_PER_SECOND * len(
             endpoints.healthy
         )
 
@@ -41,15 +41,15 @@
         context = self._context
         if endpoint.expected_wait <= 0 or request.search_rounds >= MAX_ROUNDS_FOR_A_REPORT:
             return False
-        gain = context.endpoints.told[1] - context.endpoints.told[0]
+        gain = context.endpoints.load.report_value
         return gain > 0 and context.random.draw() < gain
 
     def may_go_on(self, request, some_are_ready):
         """Whether to probe once more when none of the probed endpoints can be in time."""
         context = self._context
-        if not some_are_ready or not context.endpoints.slots:
+        if not some_are_ready or not context.endpoints.load.slots_by_kind:
             return request.search_rounds < MAX_ROUNDS
-        return request.search_rounds < 1 + (context.random.draw() > context.endpoints.late[0])
+        return request.search_rounds < 1 + (context.random.draw() > context.endpoints.lateness.at_home)
 
     def next_probe(self, request, now, probed_before=()):
         """Draws an endpoint to probe, by weight, and returns the action, or None where none fits."""
@@ -65,12 +65,12 @@
         pool = [e for e in endpoints.healthy if not e.probe_sent_at and e not in probed_before]
         pool = [e for e in pool if (e.zone != endpoints.zone) == request.probing_other_zones] or pool
         preferred = self._preferred(request, pool, now)
-        warm_since = now - endpoints.ramp
+        warm_since = now - endpoints.slow_start.ramp_time
         for _ in range(MAX_DRAWS if pool else 0):
             endpoint = context.random.pick(preferred or pool)
             if not preferred and not self._is_drawn(endpoint, warm_since):
                 continue
-            if self._selection.is_eligible(request, endpoint, now) and endpoints.ready(endpoint, now):
+            if self._selection.is_eligible(request, endpoint, now) and endpoints.is_ready(endpoint, now):
                 request.probed_endpoints = [*probed_before, endpoint]
                 endpoint.probe_sent_at = now
                 return Probe(endpoint.id)
@@ -78,7 +78,7 @@
 
     def _crossing_chance(self):
         endpoints = self._context.endpoints
-        gain = endpoints.late[0] - endpoints.late[1] - endpoints.cross
+        gain = endpoints.lateness.at_home - endpoints.lateness.in_other_zones - endpoints.crossing_price
         return max(CROSSING_GAIN * gain, MIN_CROSSING_CHANCE)
 
     def _is_drawn(self, endpoint, warm_since):
@@ -92,14 +92,14 @@
         soon past where work is short, so it is used the more often the longer work takes.
         """
         endpoints = self._context.endpoints
-        warm_since = now - endpoints.ramp
-        use_recent = self._context.random.draw() * TICKS_PER_SECOND < 2 * endpoints.mean
+        warm_since = now - endpoints.slow_start.ramp_time
+        use_recent = self._context.random.draw() * TICKS_PER_SECOND < 2 * endpoints.load.mean_work
         warming = [
             endpoint
             for endpoint in pool
             if endpoint.started_at >= warm_since
             and self._selection.is_eligible(request, endpoint, now)
-            and endpoints.ready(endpoint, now)
+            and endpoints.is_ready(endpoint, now)
         ]
         if warming or not use_recent:
             return warming
@@ -109,5 +109,5 @@
             if not endpoint.in_flight
             and now < endpoint.last_heard_at + RECENT
             and endpoint.started_at < warm_since
-            and endpoint.expected_wait <= endpoints.quick
+            and endpoint.expected_wait <= endpoints.prompt_wait
         ]
--- a/grebedyke/policy/retry_eligibility.py
+++ b/grebedyke/policy/retry_eligibility.py
@@ -41,6 +41,7 @@
         context = self._context
         limits = context.quotas.limits
         within_limits = not limits or limits.further(now, request)
-        if request.origin_node is None and not (context.retry_budget.left(now)[0] >= 1 and within_limits):
-            return False
+        if request.origin_node is None:
+            if not within_limits or context.retry_budget.available(now).left < 1:
+                return False
         return any(self.is_allowed(request, endpoint, now) for endpoint in context.endpoints.healthy)
--- a/grebedyke/policy/slot_lending.py
+++ b/grebedyke/policy/slot_lending.py
@@ -67,19 +67,19 @@
         context = self._context
         endpoints = context.endpoints
         if request.asked_group:
-            endpoints.keeper(request.asked_group, now, silent=True)
+            endpoints.coordinators.on_silence(request.asked_group, now)
             request.tried_groups.discard(request.asked_group)
             request.asked_group = None
         group = self._draw_group(request, now)
         if group is None:
             return None
         request.tried_groups.add(group)
-        coordinator = endpoints.keeper(group, now)
-        if coordinator == endpoints.me:
+        coordinator = endpoints.coordinators.node_for(group, now)
+        if coordinator == endpoints.node_number:
             request.placement_group = group
             request.next_search_at = now + 1
             if not request.search_rounds:
-                request.over_quota = context.quotas.over(now, request.tenant, len(endpoints.groups))
+                request.over_quota = context.quotas.is_over_quota(now, request.tenant, len(endpoints.groups))
             request.search_rounds += 1
             return None
         request.asked_group = group
--- a/grebedyke/service/desk.py
+++ b/grebedyke/service/desk.py
@@ -167,7 +167,7 @@
         decides = self.dispatcher
         return {
             "executors": decides.endpoints.record(),
-            "budget": decides.retry_budget.books(),
+            "budget": decides.retry_budget.export_state(),
             "places": [
                 (e.name, e.address, e.since) for e in self.pool.endpoints.values() if e.listed and e.address
             ],
@@ -179,7 +179,7 @@
         )
         self.dispatcher.endpoints.restore(now, books["executors"])
         # A process of before this had no such books: what it has sent is unknown.
-        self.dispatcher.retry_budget.recall(now, *books.get("budget") or ((), (), 0, 0))
+        self.dispatcher.retry_budget.import_state(now, *books.get("budget") or ((), (), 0, 0))
         self.dispatcher.handle(now, EndpointsChanged(False, []))
 
     def by_hand(self, now, name, out):
--- a/grebedyke/service/reload.py
+++ b/grebedyke/service/reload.py
@@ -4,8 +4,6 @@
 sets of decisions would load one executor.
 """
 
-from inspect import signature
-
 from grebedyke.model.events import AttemptEnded, EndpointsChanged
 from grebedyke.model.outcome import Outcome
 from grebedyke.policy.giving_up import last_moment
@@ -16,11 +14,14 @@
     endpoints = dispatcher.endpoints
     renumbered = any(
         getattr(endpoints, name) != getattr(fresh.endpoints, name)
-        for name in ("groups_per_zone", "nodes", "me")
+        for name in ("groups_per_zone", "node_count", "node_number")
     )
     _shorten_waits(dispatcher, fresh.context.settings)
     _adopt_operations(dispatcher.context.settings, fresh.context.settings)
-    _adopt_parts(now, dispatcher, fresh)
+    endpoints.adopt_settings(fresh.endpoints)
+    dispatcher.cutoffs.adopt_settings(fresh.cutoffs)
+    dispatcher.quotas.adopt_settings(fresh.quotas)
+    dispatcher.retry_budget.adopt_settings(fresh.retry_budget, now)
     dispatcher.context.settings = fresh.context.settings._replace(
         # What came in under an operation that is no more is still placed by it; no more of it is taken.
         operations={**dispatcher.context.settings.operations, **fresh.context.settings.operations}
@@ -29,7 +30,7 @@
         endpoint.rejected_until = {}  # by operation, as it was before
     if not dispatcher.context.settings.capabilities.cancels:
         dispatcher.cutting.planned = []
-        dispatcher.cutoffs.best = None
+        dispatcher.cutoffs.in_force = None
     if renumbered:
         _renumber(now, dispatcher)
     dispatcher.handle(now, EndpointsChanged(False, []))
@@ -58,31 +59,6 @@
             operation.longest_timeout = before.longest_timeout if same_timeout else 0
 
 
-def _adopt_parts(now, dispatcher, fresh):
-    for part, fresh_part in (
-        (dispatcher.cutoffs, fresh.cutoffs),
-        (dispatcher.endpoints, fresh.endpoints),
-        (dispatcher.quotas, fresh.quotas),
-    ):
-        _copy(part, fresh_part)
-    budget, fresh_budget = dispatcher.retry_budget, fresh.retry_budget
-    if budget.window != fresh_budget.window:
-        # Counters of other spans; what was sent by the old settings is in the new window all the same.
-        fresh_budget.recall(now, budget.took.buckets(), budget.again.buckets(), budget.took.span, budget.shut)
-        budget.took, budget.again, budget.shut = fresh_budget.took, fresh_budget.again, fresh_budget.shut
-    _copy(budget, fresh_budget)
-    quotas = dispatcher.quotas
-    quotas.tenants = fresh.quotas.tenants
-    quotas.levels = {tenant: level for tenant, level in quotas.levels.items() if tenant in quotas.quotas}
-
-
-def _copy(part, fresh_part):
-    """Each setting is kept under the name by which the part is given it."""
-    for name in signature(type(part).__init__).parameters:
-        if name not in ("self", "chance"):
-            setattr(part, name, getattr(fresh_part, name))
-
-
 def _renumber(now, dispatcher):
     """Nodes have other numbers or groups: granted slots go back without blame, searches begin anew."""
     queue = dispatcher.queue
@@ -91,7 +67,7 @@
     waiting.sort(key=lambda request: request.queue_key)
     queue.waiting = {}
     lending.searches = {}
-    dispatcher.endpoints.missed = {}
+    dispatcher.endpoints.coordinators.forget_silence()
     for request in list(dispatcher.requests.values()):
         _forget_grants(now, dispatcher, request)
     lending.leases.clear()
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -227,7 +227,7 @@
                 asks[message.number] = message
 
         scene.place.desk.peers.send = keep_asks
-        fleet.keeper = lambda group, now, silent=False: 1
+        fleet.coordinators.node_for = lambda group, now: 1
         clients = scene.clients(number)
         scene.hand_in(clients)
         await until(lambda: len(asks) == number and len(scene.held()) == number, "the asks")
@@ -236,7 +236,7 @@
         for number, ask in asks.items():
             scene.place.turn.put(scene.place.desk.heard, 1, peer_codec.encode(SlotGrant(number, ask.rank)))
         await until(lambda: not scene.place.turn.inbox)
-        fleet.keeper = lambda group, now, silent=False: 0
+        fleet.coordinators.node_for = lambda group, now: 0
         return await scene.finish()
 
 
@@ -312,7 +312,7 @@
     async def scene_of(number):
         async with Scene(2 * number + 2, **CUTS) as scene:
             d, recorder = scene.dispatcher, scene.recorder
-            d.cutoffs.best, d.cutoffs.freed, d.cutoffs.at = [500], 9, 1 << 60
+            d.cutoffs.in_force, d.cutoffs.slots_freed, d.cutoffs.next_fit = [500], 9, 1 << 60
             d.endpoints.assign_tiers(0.5)
             recorder.may_end.clear()
             clients = scene.clients(number)
@@ -331,7 +331,7 @@
             scene.leave(clients)
             await scene.past()
             recorder.may_end.set()
-            d.cutoffs.best = None
+            d.cutoffs.in_force = None
             return await scene.finish()
 
     return scene_of
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -18,9 +18,10 @@
     SlotRequest,
     SlotStarted,
 )
-from grebedyke.model.seeded_random import SeededRandom
-from grebedyke.policy.cutoff_search import CutoffSearch
+from grebedyke.policy import bounded_pareto
+from grebedyke.policy.bounded_pareto import BoundedPareto
 from grebedyke.policy.tenant_quotas import TenantQuotas
+from grebedyke.policy.wait_model import Tier, Workload, mean_wait
 from grebedyke.wire import peer_codec
 
 
@@ -181,7 +182,7 @@
             endpoint_load=1,
         )
         e.ejected_until, e.credit = 0, 0.1
-        d.endpoints.began(e, now, f, 30_000)
+        d.endpoints.on_start(e, now, f, 30_000)
         assert 0 < e.ejected_until <= now + 2_500
 
 
@@ -232,7 +233,7 @@
 def test_trial_cuts_are_few_until_their_effect_is_known():
     d = dispatcher()  # guards against cutting a whole refit long while cancels free nothing
     d.listed(10, True, rows(1, 2))
-    d.cutoffs.best, d.cutoffs.at = [500], 10**9
+    d.cutoffs.in_force, d.cutoffs.next_fit = [500], 10**9
     for e in d.endpoints.healthy:
         e.credit = 40.0
     for i in range(40):
@@ -271,7 +272,7 @@
 def test_one_pull_looks_at_few_of_many_executors():
     d, asked = dispatcher(), []  # guards against a node's CPU growing with the fleet
     d.listed(10, True, rows(*range(300)))
-    d.endpoints.ready = lambda e, now: asked.append(e) or True
+    d.endpoints.is_ready = lambda e, now: asked.append(e) or True
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
     assert len(pull(d, 10, Forward)) == 1 and len(asked) < 40
 
@@ -288,7 +289,7 @@
 def test_cut_restarts_a_tier_up_only_after_the_cancelled_outcome():
     d = dispatcher()
     d.listed(10, True, rows(1, 2, 3, 4))
-    d.cutoffs.best, d.cutoffs.freed, d.cutoffs.at = [500], 9, 10**9
+    d.cutoffs.in_force, d.cutoffs.slots_freed, d.cutoffs.next_fit = [500], 9, 10**9
     d.endpoints.assign_tiers(0.5)
     low = {e.id for e in d.endpoints.healthy if e.tier == 0}
     d.taken(10, 5, "op", None, 50_000, 1_000, 1)
@@ -301,28 +302,29 @@
     assert pull(d, 600) == []
     d.ended(610, 5, 0, Outcome.CANCELLED, False)
     again = pull(d, 610, Forward)
-    assert len(again) == 1 and again[0][2] not in low and d.cutoffs.capped
+    assert len(again) == 1 and again[0][2] not in low and d.cutoffs.cut_sizes
 
 
 def test_score_against_figures_worked_by_hand():
-    score, moment = CutoffSearch.score, CutoffSearch.moment
-    cutoffs = CutoffSearch(SeededRandom(1), 1)
     for a in (1.0, 2.0):  # the log forms are the limits of the power forms
         for j in (1, 2):
-            near = (moment((1, 100, a - 1e-4), j, 1, 100) + moment((1, 100, a + 1e-4), j, 1, 100)) / 2
-            assert isclose(moment((1, 100, a), j, 1, 100), near, rel_tol=1e-3)
-    assert isclose(moment((1, 100, 1.0), 1, 1, 100), log(100) / 0.99)
+            below, above = BoundedPareto(1, 100, a - 1e-4), BoundedPareto(1, 100, a + 1e-4)
+            near = (below.partial_moment(j, 1, 100) + above.partial_moment(j, 1, 100)) / 2
+            assert isclose(BoundedPareto(1, 100, a).partial_moment(j, 1, 100), near, rel_tol=1e-3)
+    law = BoundedPareto(1, 100, 1.0)
+    assert isclose(law.partial_moment(1, 1, 100), log(100) / 0.99)
     # One worker, B(1, 100, 1), load 1/2: W = lambda E[X^2] / (2 (1 - 1/2)) with E[X^2] = 100.
     rate = 0.5 * 0.99 / log(100)
-    assert isclose(score(cutoffs, (1, 100, 1.0), [], [(1, 1.0)], rate), rate * 100, rel_tol=1e-9)
+    workload, single, double = Workload(rate), [Tier(1, 1.0)], [Tier(1, 1.0), Tier(1, 1.0)]
+    assert isclose(mean_wait(law, [], single, workload), rate * 100, rel_tol=1e-9)
     # Cut at 10: tier 1 sees E = (ln 10 + .9)/.99, E2 = (9 + 9)/.99; tier 2 a part 0.09/0.99 of the jobs.
     one, two, up = (log(10) + 0.9) / 0.99, 18 / 0.99, 0.09 / 0.99
     wait1 = rate * two / 2 / (1 - rate * one)
     wait2 = rate * 90 / 0.99 / 2 / (1 - rate * log(10) / 0.99)
     wanted = wait1 * (1 - up) + (wait1 + 10 + wait2) * up
-    assert isclose(score(cutoffs, (1, 100, 1.0), [10], [(1, 1.0), (1, 1.0)], rate), wanted, rel_tol=1e-9)
-    assert score(cutoffs, (1, 100, 1.0), [], [(1, 1.0)], rate * 2.1) == inf
-    kept = score(cutoffs, (1, 100, 1.0), [10], [(1, 1.0), (1, 1.0)], rate, 1.0)
+    assert isclose(mean_wait(law, [10], double, workload), wanted, rel_tol=1e-9)
+    assert mean_wait(law, [], single, Workload(rate * 2.1)) == inf
+    kept = mean_wait(law, [10], double, Workload(rate, ineffective_cancels=1.0))
     assert kept > wanted  # cancels that free nothing cost
 
 
@@ -330,9 +332,9 @@
     for alpha in (0.6, 1.0, 1.4):
         chance = random.Random(5)
         sizes = [(1 - chance.random() * (1 - 1000**-alpha)) ** (-1 / alpha) for _ in range(3000)]
-        assert abs(CutoffSearch.fit(sizes)[2] - alpha) < 0.1
+        assert abs(bounded_pareto.fit(sizes).shape - alpha) < 0.1
         below = [x for x in sizes if x <= 300] + [1000.0]
-        assert abs(CutoffSearch.fit(below, [300] * (len(sizes) - len(below)))[2] - alpha) < 0.1
+        assert abs(bounded_pareto.fit(below, [300] * (len(sizes) - len(below))).shape - alpha) < 0.1
 
 
 def test_search_keeps_its_bounds_and_turns_to_random_when_cancels_free_nothing():
@@ -340,15 +342,15 @@
         d = dispatcher()
         d.listed(10, True, rows(*range(1, 9)))
         c, chance = d.cutoffs, random.Random(3)
-        c.sizes = [100 / (1 - chance.random() * 0.999) ** 1.0 for _ in range(400)]
-        c.kept, c.loose = kept, 0.0
+        c.finished_sizes = [100 / (1 - chance.random() * 0.999) ** 1.0 for _ in range(400)]
+        c.slots_kept, c.uncuttable = kept, 0.0
         for _ in range(300):
             c.arrivals.add(99_000)
         c.step(10, d.endpoints)
         for now in range(100_010, 100_400):
             c.step(now, d.endpoints)
-            assert all(c.law[0] <= cut[0] <= c.law[1] for cut in c.pool)
-        assert (c.best is None) == bool(kept), c.why
+            assert all(c.distribution.smallest <= cut[0] <= c.distribution.largest for cut in c.population)
+        assert (c.in_force is None) == bool(kept), c.summary
 
 
 def test_the_list_is_asked_for_again_later_each_time():
@@ -374,7 +376,7 @@
     for _ in range(3):
         d.unlisted(0)
     latest = max(d.list_polling.poll_at for _ in range(9) if d.unlisted(0) is None)
-    assert d.endpoints.nodes * 500 < latest <= 8 * 2 * 10_000 + 1
+    assert d.endpoints.node_count * 500 < latest <= 8 * 2 * 10_000 + 1
 
 
 def test_same_decisions_under_any_hash_seed():
@@ -434,7 +436,7 @@
                 reported_wait=0,
             )
             d.endpoints.by_id[1].start_floors = [0, 0]
-            d.endpoints.began(d.endpoints.by_id[1], f.sent_at + wait, f, wait)
+            d.endpoints.on_start(d.endpoints.by_id[1], f.sent_at + wait, f, wait)
         for i in range(40):
             now = 500_000 + 10_000 * i
             d.endpoints.by_id[1].ejected_until = d.endpoints.by_id[1].probe_sent_at = d.endpoints.by_id[
@@ -450,7 +452,7 @@
     for late, asked in ((1.0, 1), (0.0, 2)):  # guards against a herd under overload, when all ask twice
         d = dispatcher(nodes=200, probes=True, back=20_000)
         d.listed(10, True, rows(1, 2) + rows(3, 4, zone="b"))
-        d.endpoints.late[0], d.endpoints.slots = late, {"std": 4}
+        d.endpoints.lateness.at_home, d.endpoints.load.slots_by_kind = late, {"std": 4}
         d.taken(10, 5, "op", None, 50_000, 1_000, 1)
         for _ in range(asked):
             ((id,),) = pull(d, 20, Probe)
@@ -463,7 +465,7 @@
     for held, taken in ((5, True), (40, False)):
         d = dispatcher(nodes=200, probes=True)
         d.listed(10, True, rows(1))
-        d.endpoints.slots["std"] = 4
+        d.endpoints.load.slots_by_kind["std"] = 4
         d.taken(10, 5, "op", None, 50_000, 4_000, 1)
         probes = pull(d, 10, Probe) or pull(d, 10, Probe)
         d.probed(20, probes[0].endpoint_id, "ok", 0, held)
@@ -481,7 +483,8 @@
         for free, held in ((4.0, 0.0), *[(2.0, 1.2), (3.6, 1.2), (4.4, 1.0)] * 9, (1.0, 20.0), (0.0, 20.0)):
             d.probed(20, 1, "ok", free, held)
         assert (
-            d.endpoints.slots["std"] < (7 if wide == 1 else 5.5) and d.endpoints.by_id[1].expected_wait > wait
+            d.endpoints.load.slots_by_kind["std"] < (7 if wide == 1 else 5.5)
+            and d.endpoints.by_id[1].expected_wait > wait
         )
 
 
@@ -491,7 +494,9 @@
         for seed in range(20):
             d = dispatcher(nodes=40, probes=True, seed=seed)
             d.listed(10, True, rows(*range(8)))
-            d.endpoints.told, d.endpoints.slots = at_once, {"std": 4.0}
+            load = d.endpoints.load
+            load.when_full.share, load.when_free.share = at_once
+            load.slots_by_kind = {"std": 4.0}
             d.taken(10, 5, "op", None, 50_010, 1_000, 1)
             (first,) = [x.endpoint_id for x in pull(d, 10, Probe)]
             d.probed(20, first, "ok", 0.0, 5.0)
@@ -513,7 +518,7 @@
     for gone in (0, 1):
         d = dispatcher(nodes=40, probes=True)
         d.listed(10, True, rows(1))
-        d.endpoints.mean, d.endpoints.slots = 5_000, {"std": 4.0}
+        d.endpoints.load.mean_work, d.endpoints.load.slots_by_kind = 5_000, {"std": 4.0}
         for i in range(40):
             for told in (False, True):
                 f = SimpleNamespace(
@@ -524,7 +529,7 @@
                     reported_wait=3_000 * (not told),
                 )
                 took = 20 if told or gone else 3_000
-                d.endpoints.began(d.endpoints.by_id[1], f.sent_at + took, f, took)
+                d.endpoints.on_start(d.endpoints.by_id[1], f.sent_at + took, f, took)
         d.probed(500_000, 1, "ok", 0.0, 8.0)
         waits.append(d.endpoints.by_id[1].expected_wait)
     assert waits[0] > 4_000 and waits[1] == 0
@@ -551,8 +556,8 @@
             sent_at=10_000 + i, opened_connection=False, expected_wait=0, had_free_slot=None, reported_wait=0
         )
         took = 20 if i == 0 else 3_000
-        d.endpoints.began(d.endpoints.by_id[i], f.sent_at + took, f, took)
-    assert d.endpoints.bias > 2_000 and d.endpoints.late[0] > 0.8
+        d.endpoints.on_start(d.endpoints.by_id[i], f.sent_at + took, f, took)
+    assert d.endpoints.lateness.excess > 2_000 and d.endpoints.lateness.at_home > 0.8
 
 
 def test_what_late_starts_taught_is_forgotten_when_nothing_is_sent_any_more():
@@ -570,7 +575,7 @@
                 reported_wait=0,
             )
             took = 20 if i == 0 else 12_000
-            d.endpoints.began(d.endpoints.by_id[i], 112_000, f, took)
+            d.endpoints.on_start(d.endpoints.by_id[i], 112_000, f, took)
             d.endpoints.by_id[i].ejected_until = 0
         start = 112_000 + int(still * 10_000)
         d.taken(start, 5, "op", None, start + 50_000, 1_000, 1)
@@ -634,13 +639,13 @@
 def test_a_keeper_without_a_word_is_left_for_the_next_and_a_word_lost_costs_no_executor():
     for outage in (range(6), (0,)):  # guards against a dead keeper that takes a zone's executors with it
         s = Several(6, rows(1, 2))
-        keeper = s.all[0].endpoints.keeper(("a", 0), 10)
+        keeper = s.all[0].endpoints.coordinators.node_for(("a", 0), 10)
         s.lost = lambda by, to: keeper in (by, to) and to in (keeper, *outage)
         asker = next(i for i in range(6) if i != keeper)
         s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
         done = s.go(10, 2_400)
         assert len(forwards(done)) == 1 and 1_000 < done[0][0] < 1_200
-        book = s.all[s.all[asker].endpoints.keeper(("a", 0), 1_500)].endpoints
+        book = s.all[s.all[asker].endpoints.coordinators.node_for(("a", 0), 1_500)].endpoints
         assert sum(e.slots_in_use for e in book.healthy) == 1
         s.all[asker].ended(2_400, 5, 0, Outcome.SUCCEEDED, True)
         s.lost = lambda by, to: to == keeper
@@ -651,7 +656,7 @@
 def test_what_was_lent_comes_back_when_its_invocation_has_left_or_its_node_is_dead():
     for dead in (False, True):  # guards against books that fill up with work that nobody has
         s = Several(4, rows(1))
-        keeper = s.all[0].endpoints.keeper(("a", 0), 10)
+        keeper = s.all[0].endpoints.coordinators.node_for(("a", 0), 10)
         asker = (keeper + 1) % 4
         e = s.all[keeper].endpoints.by_id[1]
         s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
@@ -668,7 +673,7 @@
 def test_the_own_list_goes_before_what_another_node_lends():
     for state, sent in (("draining", 0), ("gone", 0), ("healthy", 1)):  # rule 3 is each node's own
         s = Several(4, rows(1))
-        asker = (s.all[0].endpoints.keeper(("a", 0), 10) + 1) % 4
+        asker = (s.all[0].endpoints.coordinators.node_for(("a", 0), 10) + 1) % 4
         s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
         s.go(10, 20)
         s.all[asker].listed(25, False, rows(1, state=state))
@@ -678,7 +683,7 @@
 def test_a_word_that_is_odd_repeated_or_late_does_no_harm():
     d = dispatcher(nodes=4, me=0, split=1)
     d.listed(10, True, rows(1, 2))
-    d.endpoints.keeper = lambda group, now, silent=False: 0
+    d.endpoints.coordinators.node_for = lambda group, now: 0
     rank = d.endpoints.healthy[0].rank
     plain = SlotRequest(7, rank, 40_000, 1_000, 0, 1, 0, 0, 0, 0)
     for by, message in (
@@ -749,9 +754,9 @@
     # Quota: ten a second.
     for rate, parts, passed in ((5, 1, 50), (20, 1, 110), (20, 2, 55), (1, 10, 10)):
         shares = TenantQuotas({"t": 10.0}, 1)
-        within = sum(not shares.over(i * 10_000 // rate, "t", parts) for i in range(10 * rate))
+        within = sum(not shares.is_over_quota(i * 10_000 // rate, "t", parts) for i in range(10 * rate))
         assert abs(within - passed) <= 1, (rate, parts, within)
-    assert not TenantQuotas({}, 1).over(0, "t")
+    assert not TenantQuotas({}, 1).is_over_quota(0, "t")
 
 
 def test_without_start_notes_credit_is_the_slots_that_reports_show_free():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -681,7 +681,9 @@
 
     def seen(d):
         shown = {}
-        for part in (d.endpoints, d.cutoffs, d.quotas):
+        table = d.endpoints
+        rules = table.slow_start, table.credit, table.load, table.speeds, table.lateness, table.coordinators
+        for part in (table, *rules, d.cutoffs, d.quotas):
             for name, value in vars(part).items():
                 if isinstance(value, (int, float, str, bool)):
                     shown[type(part).__name__, name] = value
