--- a/grebedyke/policy/cutting.py
+++ b/grebedyke/policy/cutting.py
@@ -81,4 +81,4 @@
     def _is_retry_affordable(self, request, now):
         left, allowance = self._context.retry_budget.available(now)
         limits = self._context.quotas.limits
-        return left >= max(1, allowance / 2) and (not limits or limits.further(now, request))
+        return left >= max(1, allowance / 2) and (not limits or limits.may_retry(now, request))
--- a/grebedyke/policy/placement.py
+++ b/grebedyke/policy/placement.py
@@ -106,7 +106,7 @@
         if request.attempts and request.origin_node is None:
             context.retry_budget.retries.add(now)
             if context.quotas.limits:
-                context.quotas.limits.again(now, request)
+                context.quotas.limits.retry_started(now, request)
         attempt = Attempt(request, endpoint, now, granting_node)
         context.endpoints.sends.add(now)
         self._rules.lending.searches.pop(request.slot_request_number, None)
--- a/grebedyke/policy/request_queue.py
+++ b/grebedyke/policy/request_queue.py
@@ -51,7 +51,7 @@
         if not request.open_attempts:
             context.requests.pop(request.id, None)
             if context.quotas.limits:
-                context.quotas.limits.give(request)
+                context.quotas.limits.release(request)
 
     def next_wake(self, now, others):
         """A time to wake at, or None where the last one still holds.
--- a/grebedyke/rig/broken.py
+++ b/grebedyke/rig/broken.py
@@ -6,228 +6,257 @@
 from contextlib import contextmanager
 
 from grebedyke import errors
-from grebedyke.consensus import acceptor, consensus, records
-from grebedyke.consensus.component import Component
-from grebedyke.consensus.consensus import Consensus, Round
-from grebedyke.maintenance import maintenance as maintenance_part
-from grebedyke.maintenance import rollout
-from grebedyke.maintenance.maintenance import Maintenance
-from grebedyke.rate_limits import allocation, definitions, limiter
-from grebedyke.rate_limits.component import RateLimits
-
-
-def answer_at_once(self, now, to, message, keep):
-    self.send(to, message)
-    if keep:
-        self.keep(now)
-
-
-def from_the_answer(self, now, by, number, yes, epoch, members):
-    if number in self.asks:
-        self.asks[number].sent = now
-    honest["granted"](self, now, by, number, yes, epoch, members)
-
-
-def any_board(self, now, by, number, rev, agreed, process, epoch):
-    self.acks[by] = int(agreed), int(process), now
-    self.send(by, ["M", number, True, self.agreement.voter.epoch, self.agreement.voter.members])
-
-
-def as_a_new_member(self, now, stored):
+from grebedyke.consensus import acceptor, messages, proposer, records
+from grebedyke.consensus.ballots import Incarnation
+from grebedyke.consensus.proposer import Round
+from grebedyke.consensus.recovery import Recovery
+from grebedyke.consensus.vote_store import VoteStore
+from grebedyke.maintenance import commands, exclusions, observations
+from grebedyke.maintenance.component import Maintenance
+from grebedyke.maintenance.evidence import UnplannedLosses
+from grebedyke.maintenance.observations import Observations
+from grebedyke.maintenance.rollout import MachineState
+from grebedyke.maintenance.settings import MaintenanceSettings
+from grebedyke.maintenance.view_lease import ViewLease
+from grebedyke.rate_limits import definitions
+from grebedyke.rate_limits.allocation import Allocation, AllocationTable
+from grebedyke.rate_limits.concurrency_limiter import ConcurrencyLimiter
+from grebedyke.rate_limits.holder_election import HolderElection
+from grebedyke.rate_limits.lease_holder import LeaseHolder
+from grebedyke.rate_limits.lease_terms import LeaseTerms
+from grebedyke.rate_limits.limit_meter import LimitMeter
+from grebedyke.rate_limits.share_client import ShareClient
+from grebedyke.rate_limits.token_bucket import TokenBucket
+
+
+def answer_at_once(self, node, answer):
+    self.consensus.send_message(node, answer.message)
+    if answer.needs_persisting:
+        self.mark_dirty()
+
+
+def lease_from_the_answer(self, now, sender, answer):
+    """The lease counts from when the answer came."""
+    if answer.number in self.lease.pending_requests:
+        self.lease.pending_requests[answer.number].sent_at = now
+    honest["lease_answered"](self, now, sender, answer)
+
+
+def lease_for_any_revision(self, now, sender, request):
+    """The lease is granted whatever the node knows."""
+    self.observations.record_acknowledgement(now, sender, request.acknowledged_revision, request.process)
+    self.answer_lease_request(sender, request, granted=True)
+
+
+def as_a_new_member(self, now, data):
     """A file that is not there, or spoilt, is that of a new member."""
-    data = stored.get(consensus.FILE)
     try:
-        known = data is not None and records.content(self.fleet, self.me, data)
+        known = data is not None and records.decode(self.consensus.fleet, self.acceptor.node_id, data)
     except errors.CorruptRecordError:
         known = None
-    if known or self.me not in self.founders:
-        return honest["recalled"](self, now, stored)
-    self.next, self.voter.phase, self.voter.life, self.voter.epoch = now, acceptor.VOTING, (1, 1), 1
-    self.keep(now)
+    if known or self.acceptor.node_id not in self.founders:
+        return honest["restore"](self, now, data)
+    self.next_query_at = now
+    self.acceptor.phase = acceptor.Phase.VOTING
+    self.acceptor.incarnation = Incarnation(1, 1)
+    self.acceptor.epoch = 1
+    self.consensus.store.mark_dirty()
 
 
-def any_number(board_, name, number):
-    state = board_["at"].get(name, [None])[0] if board_ and board_["plan"] else None
-    if state in (rollout.FREE, rollout.FAILED):
-        return rollout.put(board_, name, rollout.BACK), f"{name}: {rollout.BACK}"
-    return honest["by_word"](board_, name, number)
+def back_by_any_number(rollout, name, number):
+    """A confirmation counts whichever number it carries."""
+    status = rollout.machines.get(name)
+    if status is not None and status.state in (MachineState.FREE, MachineState.FAILED):
+        back = rollout.with_machine(name, MachineState.BACK)
+        return commands.CommandResult(back, f"{name}: {MachineState.BACK}")
+    return honest["confirm_machine_back"](rollout, name, number)
 
 
-def no_quorum_of_lives(votes, quorum):
-    return votes if len(votes) >= quorum else None
+def no_quorum_of_incarnations(votes, quorum_size):
+    return votes if len(votes) >= quorum_size else None
 
 
-def not_how_far(self, by, its_life):
-    """Only which life each of the others is in."""
-    answer, keep = honest["recover"](self, by, its_life)
-    return ([*answer[:7], 0, {}] if answer[0] == "R" else answer), keep
+def without_vote_counts(self, node, incarnation):
+    """Only which incarnation each of the others is in."""
+    answer = honest["admit"](self, node, incarnation)
+    if not isinstance(answer.message, messages.RejoinState):
+        return answer
+    return answer._replace(message=answer.message._replace(vote_count=0, vote_counts={}))
 
 
 honest = {
-    "recover": acceptor.Acceptor.recover,
-    "granted": Maintenance.granted,
-    "recalled": Consensus.recalled,
-    "by_word": rollout.by_word,
+    "admit": acceptor.Acceptor.admit,
+    "lease_answered": Maintenance.lease_answered,
+    "restore": Recovery.restore,
+    "confirm_machine_back": commands.confirm_machine_back,
 }
 
 BUILDS = {
-    "a vote is answered before it is kept": [(Consensus, "answer", answer_at_once)],
-    "half is taken for a majority": [(Round, "quorum", lambda self: max(len(self.members) // 2, 1))],
-    "a lease is reckoned from the answer": [(Maintenance, "granted", from_the_answer)],
-    "no drift": [(Maintenance, "bound", lambda self: int(self.lease * (1 - 2 * self.drift)))],
-    "numbers are not compared": [(rollout, "by_word", any_number)],
-    "a spoilt file is taken for a new member's": [(Consensus, "recalled", as_a_new_member)],
-    "back is taken for warm": [(Maintenance, "is_warm", lambda self, now, name, pair: True)],
-    "losses without a plan are not counted": [(Maintenance, "away", lambda self, rows, board_: ({}, {}, 0))],
-    "a lease is given to whoever asks": [(Maintenance, "asked", any_board)],
-    "who is not sure uses what waits": [(rollout, "UNSURE", rollout.OUT)],
-    "votes of past lives count": [(consensus, "agreeing", no_quorum_of_lives)],
-    "who is let in again does not hear how far the others are": [(acceptor.Acceptor, "recover", not_how_far)],
-    "who has just begun uses all": [(maintenance_part.Maintenance, "apply", None)],
+    "a vote is answered before it is kept": [(VoteStore, "answer", answer_at_once)],
+    "half is taken for a majority": [(Round, "quorum_size", lambda self: max(len(self.members) // 2, 1))],
+    "a lease is reckoned from the answer": [
+        (Maintenance, "lease_answered", lease_from_the_answer),
+    ],
+    "no drift": [
+        (MaintenanceSettings, "lease_bound", lambda self: int(self.lease * (1 - 2 * self.drift))),
+    ],
+    "numbers are not compared": [(commands, "confirm_machine_back", back_by_any_number)],
+    "a spoilt file is taken for a new member's": [(Recovery, "restore", as_a_new_member)],
+    "back is taken for warm": [(Observations, "is_warmed_up", lambda self, now, key: True)],
+    "losses without a plan are not counted": [
+        (observations, "unplanned_losses", lambda rollout, endpoints: UnplannedLosses()),
+    ],
+    "a lease is given to whoever asks": [
+        (Maintenance, "lease_requested", lease_for_any_revision),
+    ],
+    "who is not sure uses what waits": [
+        (exclusions, "EXCLUDED_STATES_WHEN_UNSURE", exclusions.EXCLUDED_STATES),
+    ],
+    "votes of past lives count": [(proposer, "consistent_votes", no_quorum_of_incarnations)],
+    "who is let in again does not hear how far the others are": [
+        (acceptor.Acceptor, "admit", without_vote_counts)
+    ],
+    "who has just begun uses all": [(Maintenance, "has_no_view", lambda self: False)],
 }
 
 
-def begins_seeing(self, now):
-    known = self.sure(now)
-    names = rollout.machines_in(self.board, rollout.OUT if known else rollout.UNSURE)
-    names = frozenset(names)
-    if (names, False) != self.shown:
-        self.shown = names, False
-        self.out.append(("hands", names, False))
-    self.watching = names
-    self.leaving_since = {name: self.leaving_since.get(name, now) for name in names}
-
-
-BUILDS["who has just begun uses all"] = [(Maintenance, "apply", begins_seeing)]
+# Limits.
 
+_receive_grant = ShareClient.receive_grant
+_begin_table = AllocationTable.__init__
+_begin_bucket = TokenBucket.__init__
+_request_if_due = ShareClient.request_if_due
 
-# Limits.
 
+def share_from_the_answer(self, now, grant):
+    """A share's lease begins when its grant arrives instead of when it was requested."""
+    if grant.number in self._pending:
+        self._pending[grant.number] = now
+    _receive_grant(self, now, grant)
 
-def granted_from_the_answer(self, now, by, number, term, other, given):
-    if number in self.asks:
-        self.asks[number] = now
-    honest_limits["granted"](self, now, by, number, term, other, given)
 
+def add_share(self, now, share, expires_at):
+    """A share is added to the one before instead of replacing it."""
+    self.share = self.share + share
+    self.share_expires_at = expires_at
 
-def added(self, now, share, until):
-    self.share, self.until = self.share + share, until
 
+def add_share_to_bucket(self, now, share, expires_at):
+    """The same, where the bucket has to be filled first."""
+    self._refill(now)
+    add_share(self, now, share, expires_at)
 
-def added_to_a_bucket(self, now, share, until):
-    self.advance(now)
-    added(self, now, share, until)
 
+def charge_for_newest_grant(self):
+    """The newest grant is taken as received, though it may be lost or under way."""
+    newest = [grant.amount for grant in [*self.grants][-1:]]
+    self.charged = max([*newest, self.in_use])
+    return self.charged
 
-def the_last_only(self):
-    self.held = max([amount for _, amount, _ in [*self.grants][-1:]] + [self.used])
-    return self.held
 
+def forget_what_runs_on(self, kind, total, floor, times):
+    """What a dead node sent is taken as ended when its last grant has."""
+    _begin_table(self, kind, total, floor, times._replace(run_on=0))
 
-def nothing_runs_on(self, kind, total, floor, often, ends, hold):
-    honest_limits["books"](self, kind, total, floor, often, ends, 0)
 
+def keep_former_limit(self, *arguments):
+    """A limit that has shrunk stays in force."""
 
-def as_it_was(self, *args):
-    """A limit that has shrunk is not withdrawn."""
 
+def use_floor_at_once(self, now):
+    """A process uses its floor while what a former one admitted may still run."""
+    return self.in_flight < self.limit.floor + self.active_share(now)
 
-def from_the_first_moment(self, now):
-    return self.used < self.limit.floor + self.held(now)
 
+def begin_with_full_bucket(self, limit, terms, now):
+    """A process begins with its part of the burst."""
+    _begin_bucket(self, limit, terms, now)
+    self.tokens = limit.burst / terms.node_count
 
-def full_at_first(self, limit, nodes, drift, hold, lease, now):
-    honest_limits["bucket"](self, limit, nodes, drift, hold, lease, now)
-    self.level = limit.burst / nodes
 
+def duration_without_drift(duration, clock_drift):
+    """The bound is too short by as much as it should be longer."""
+    return int(duration * (1 - 2 * clock_drift))
 
-honest_limits = {
-    "granted": RateLimits.granted,
-    "books": allocation.Books.__init__,
-    "bucket": limiter.Bucket.__init__,
-}
 
 LIMITS = {
-    "a share is reckoned from the answer": [(RateLimits, "granted", granted_from_the_answer)],
+    "a share is reckoned from the answer": [(ShareClient, "receive_grant", share_from_the_answer)],
     "no drift in shares": [
-        (RateLimits, "ends", lambda self: int(self.lease * (1 - 2 * self.drift))),
-        (RateLimits, "wait", lambda self, kind=None: int(2 * self.lease * (1 - 2 * self.drift))),
+        (
+            LeaseTerms,
+            "grant_bound",
+            lambda self: duration_without_drift(self.lease, self.clock_drift),
+        ),
+        (
+            LeaseTerms,
+            "takeover_wait",
+            lambda self, kind=None: duration_without_drift(2 * self.lease, self.clock_drift),
+        ),
     ],
-    "floors are not counted": [
-        (definitions, "pool", lambda size, floor, nodes: size),
-        (limiter, "pool", lambda size, floor, nodes: size),
+    "floors are not counted": [(definitions, "grantable_amount", lambda size, floor, node_count: size)],
+    "a new holder does not wait": [(LeaseTerms, "takeover_wait", lambda self, kind=None: 0)],
+    "a holder whose place has ended grants on": [
+        (HolderElection, "is_certain_holder", lambda self, now: self.is_holder())
     ],
-    "a new holder does not wait": [(RateLimits, "wait", lambda self, kind=None: 0)],
-    "a holder whose place has ended grants on": [(RateLimits, "sure", lambda self, now: self.holds())],
     "a grant that comes again is added": [
-        (limiter.Meter, "given", added),
-        (limiter.Bucket, "given", added_to_a_bucket),
+        (LimitMeter, "receive_share", add_share),
+        (TokenBucket, "receive_share", add_share_to_bucket),
     ],
     "a shrunk limit is not withdrawn": [
-        (
-            RateLimits,
-            "lay_books",
-            lambda self, now, anew=False: anew and honest_limits["lay"](self, now, anew),
-        ),
-        (
-            limiter.Meter,
-            "retune",
-            lambda self, limit, now: hasattr(self, "limit") or honest_limits["retune"](self, limit, now),
-        ),
+        (LeaseHolder, "update_tables", keep_former_limit),
+        (LimitMeter, "change_limit", keep_former_limit),
+    ],
+    "the newest grant is taken as received": [(Allocation, "recompute_charge", charge_for_newest_grant)],
+    "what a dead node sent is taken as ended": [(AllocationTable, "__init__", forget_what_runs_on)],
+    "a node's own slots are used from its first moment": [
+        (ConcurrencyLimiter, "has_capacity", use_floor_at_once)
     ],
-    "the newest grant is taken as received": [(allocation.Entry, "reckon", the_last_only)],
-    "what a dead node sent is taken as ended": [(allocation.Books, "__init__", nothing_runs_on)],
-    "a node's own slots are used from its first moment": [(limiter.Slots, "room", from_the_first_moment)],
-    "a bucket begins full": [(limiter.Bucket, "__init__", full_at_first)],
+    "a bucket begins full": [(TokenBucket, "__init__", begin_with_full_bucket)],
 }
-honest_limits |= {"lay": RateLimits.lay_books, "retune": limiter.Meter.retune}
 
 
 # At scale: each of them keeps every promise, and costs many times what it should.
 
 
-def answered_to_all(self, now, by, number, rev, agreed, process, epoch):
-    """Its answer goes to every node instead of to the one that asked."""
-    send, self.send = (
-        self.send,
-        lambda to, message: [
-            Component.send(self, v, message) for v in (range(self.nodes) if message[0] == "M" else [to])
-        ],
-    )
-    try:
-        honest["asked"](self, now, by, number, rev, agreed, process, epoch)
-    finally:
-        self.send = send
+def answered_to_all(self, node, request, granted):
+    """A voter's answer goes to every node instead of to the one that asked."""
+    for each in range(self.node_count):
+        honest["answer_lease_request"](self, each, request, granted)
 
 
-def asks_kept_for_ever(self, now):
-    asks = dict(self.asks)
-    honest["ask"](self, now)
-    self.asks = {**asks, **self.asks}
+def requests_kept_for_ever(self, now, number, revision):
+    """Lease requests that are too old to count are not dropped."""
+    pending_requests = dict(self.pending_requests)
+    honest["start_request"](self, now, number, revision)
+    self.pending_requests = {**pending_requests, **self.pending_requests}
 
 
-def asked_again_at_once(self, now):
-    """Whoever has had no answer 2 ms later asks again, and again."""
-    before = self.number
-    honest_limits["ask"](self, now)
-    if self.number > before:
-        self.next = now + 20
+def request_again_at_once(self, now, voters):
+    """Whoever has had no answer 2 ms later requests again, and again."""
+    if now >= self.next_request_at:
+        _request_if_due(self, now, voters)
+        self.next_request_at = now + 20
 
 
-def answered_in_time(self, now, by, number, term, other, given):
-    honest_limits["granted"](self, now, by, number, term, other, given)
-    self.next = now + self.lease // 3
+def request_when_due_once_answered(self, now, grant):
+    """Only an answer ends that."""
+    _receive_grant(self, now, grant)
+    self.next_request_at = now + self._lease // 3
 
 
-honest |= {"asked": Maintenance.asked, "ask": Maintenance.ask}
-honest_limits |= {"ask": RateLimits.ask}
+honest |= {
+    "answer_lease_request": Maintenance.answer_lease_request,
+    "start_request": ViewLease.start_request,
+}
 
 SCALE = {
-    "an answer to all instead of to one": [(Maintenance, "asked", answered_to_all)],
-    "asks are never dropped": [(Maintenance, "ask", asks_kept_for_ever)],
+    "an answer to all instead of to one": [
+        (Maintenance, "answer_lease_request", answered_to_all),
+    ],
+    "asks are never dropped": [(ViewLease, "start_request", requests_kept_for_ever)],
     "asked again without back-off": [
-        (RateLimits, "ask", asked_again_at_once),
-        (RateLimits, "granted", answered_in_time),
+        (ShareClient, "request_if_due", request_again_at_once),
+        (ShareClient, "receive_grant", request_when_due_once_answered),
     ],
 }
 
