--- a/grebedyke/rate_limits/limit_meter.py
+++ b/grebedyke/rate_limits/limit_meter.py
@@ -1,6 +1,6 @@
 """What limiters of all kinds have in common: the share, the counts and what was wanted of late. No I/O."""
 
-from grebedyke.model import Ring
+from grebedyke.model.window_counter import WindowCounter
 from grebedyke.rate_limits import definitions
 
 # Arrivals are counted by intervals of an eighth of a lease; demand is taken from half a lease up to two.
@@ -32,7 +32,7 @@
         self.denied = 0
         self._node_count = terms.node_count
         self._interval = max(terms.lease // INTERVALS_PER_LEASE, 1)
-        self.arrivals = Ring(self._interval, _INTERVALS_KEPT)
+        self.arrivals = WindowCounter(self._interval, _INTERVALS_KEPT)
         self._set_limit(limit)
 
     def change_limit(self, now, limit):
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -26,6 +26,7 @@
 import msgpack
 import orjson
 import pytest
+from helpers import dispatcher
 
 if __name__ == "__main__":
     sys.path.insert(0, str(Path(__file__).parent.parent))
@@ -36,14 +37,24 @@
 from grebedyke.consensus.actions import SendMessage
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.maintenance.component import Maintenance
-from grebedyke.model import SeededRandom
+from grebedyke.model.events import AttemptEnded, PeerMessageReceived, RequestArrived
+from grebedyke.model.outcome import Outcome
+from grebedyke.model.peer_messages import (
+    SlotDenial,
+    SlotGrant,
+    SlotProgressed,
+    SlotReleased,
+    SlotRequest,
+    SlotStarted,
+)
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rig import limited, world
 from grebedyke.service import configuration
 from grebedyke.service.assembly import assemble
 from grebedyke.service.configuration.reading import NODE
 from grebedyke.service.handover import Channel
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire import words
+from grebedyke.wire import peer_codec
 from grebedyke.wire.discovery import entries
 
 GOLDEN = Path(__file__).parent / "data" / "golden"
@@ -52,25 +63,41 @@
 # Everything that depends on names inside the package.
 
 
+PEER_MESSAGES = {
+    "ask": SlotRequest,
+    "lend": SlotGrant,
+    "none": SlotDenial,
+    "began": SlotStarted,
+    "news": SlotProgressed,
+    "end": SlotReleased,
+}
+PEER_KINDS = {message: kind for kind, message in PEER_MESSAGES.items()}
+
+
 def pack_datagram(kind, number, *figures):
-    return words.pack(kind, number, *figures)
+    return peer_codec.encode(PEER_MESSAGES[kind](number, *figures))
 
 
 def unpack_datagram(body):
-    return words.unpack(body)
+    message = peer_codec.decode(body)
+    return message and (PEER_KINDS[type(message)], *message)
 
 
 def deliver_datagram(sender, body):
-    """The arguments of the call that a datagram becomes at the dispatcher of node 1 of 3."""
+    """The figures with which a datagram reaches the rules in the dispatcher of node 1 of 3."""
     calls = []
-
-    class Dispatcher:
-        tells, fleet = True, SimpleNamespace(me=1, nodes=3)
-
-        def __getattr__(self, name):
-            return lambda *arguments: calls.append(arguments)
-
-    words.deliver(Dispatcher(), 1_000, sender, body)
+    receiver = dispatcher(nodes=3, me=1, split=1)
+    tracking = receiver.tracking
+    tracking.started = lambda now, event, start_delay: calls.append((now, *event, start_delay))
+    tracking.progressed = tracking.ended = lambda now, event: calls.append((now, *event))
+    receiver._peer_handlers |= {
+        SlotRequest: lambda now, node, x: calls.append((now, (node, x.number), *x[1:])),
+        SlotGrant: lambda now, node, x: calls.append((now, node, *x)),
+        SlotDenial: lambda now, node, x: calls.append((now, *x)),
+    }
+    message = peer_codec.decode(body)
+    if message:
+        receiver.handle(1_000, PeerMessageReceived(sender, message))
     return calls
 
 
@@ -214,20 +241,21 @@
         dispatcher, now = self.node.desk.dispatcher, self.NOW
         for i, operation in enumerate(["op", "safe", "op", "safe"]):
             id = b"r%d" % i
-            dispatcher.taken(now + i * TICKS_PER_SECOND, id, operation, "t", now + 90_000, 0, 1)
-            self.decisions(now + i * TICKS_PER_SECOND)
-            dispatcher.ended(now + i * TICKS_PER_SECOND + 5, id, 0, "no connection", False, None)
-            self.decisions(now + i * TICKS_PER_SECOND + 5)
+            then = now + i * TICKS_PER_SECOND
+            dispatcher.handle(then, RequestArrived(id, operation, "t", now + 90_000))
+            self.decisions(then)
+            dispatcher.handle(then + 5, AttemptEnded(id, 0, Outcome.CONNECT_FAILED, False))
+            self.decisions(then + 5)
         self.node.desk.by_hand(now, "s-2", True)
 
     def decisions(self, now):
-        return [*iter(partial(self.node.desk.dispatcher.decide, now), None)]
+        return [*iter(partial(self.node.desk.dispatcher.next_action, now), None)]
 
     def books(self):
         return self.node.desk.books()
 
     def banned(self):
-        return sorted(self.node.desk.dispatcher.fleet.banned)
+        return sorted(self.node.desk.dispatcher.endpoints.banned)
 
     def list_index(self):
         return self.node.watch.index
@@ -283,7 +311,7 @@
     return json.loads((GOLDEN / f"{name}.json").read_bytes())
 
 
-# Datagrams of wire/words.py.
+# Datagrams of wire/peer_codec.py.
 
 OUTCOMES = ("ok", "fault", "full", "timeout", "no connection", "reset", "cancelled", "moot")
 DATAGRAMS = [
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -11,7 +11,7 @@
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.consensus.messages import Accepted
 from grebedyke.maintenance.rollout import Rollout
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rig import broken
 from grebedyke.rig.world import World
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,7 +14,8 @@
 from grebedyke.errors import ConfigurationError
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
-from grebedyke.model import IDEMPOTENT, MOOT, OK
+from grebedyke.model.actions import Forward, Throttle
+from grebedyke.model.outcome import Effect, Outcome
 from grebedyke.rate_limits import messages, settings
 from grebedyke.rate_limits.allocation import AllocationTable, AllocationTimes
 from grebedyke.rate_limits.component import RateLimits
@@ -235,35 +236,48 @@
     assert [limit.wire_id for limit in limits] == [11350, 3454, 754]
 
 
+def first_of(d, now):
+    """The first forward or throttle: its type and its request."""
+    first = pull(d, now, Forward, Throttle)[0]
+    return type(first), first.request_id
+
+
+def throttled(d, now):
+    """All throttles, where nothing is forwarded."""
+    found = pull(d, now, Forward, Throttle)
+    assert all(isinstance(x, Throttle) for x in found)
+    return found
+
+
 def test_what_is_over_is_throttled_at_once_and_a_slot_outlasts_its_client():
     """A client that leaves ends no work: its request keeps its slot, and whoever comes next is throttled."""
-    d = dispatcher(effect=IDEMPOTENT, back=20_000)
+    d = dispatcher(effect=Effect.IDEMPOTENT, back=20_000)
     d.listed(10, True, rows("e1", "e2"))
     terms = LeaseTerms(node_count=1, lease=8_000, clock_drift=0.0, run_on=0)
     pay = Limit("pay", LimitKind.CONCURRENCY, 1, 0, 1, None, "op", False)
-    d.shares.limits = RequestLimiter([pay], terms, -100_000)
+    d.quotas.limits = RequestLimiter([pay], terms, -100_000)
     d.taken(100, "first", "op", "t", 50_000, 0, 1)
-    assert pull(d, 100, "forward", "throttle")[0][:2] == ("forward", "first")
+    assert first_of(d, 100) == (Forward, "first")
     d.taken(200, "second", "op", "t", 50_000, 0, 1)
-    assert pull(d, 200, "forward", "throttle") == [("throttle", "second", 2_500)]
+    assert throttled(d, 200) == [Throttle("second", 2_500)]
     # Its client leaves; the work goes on, and so does its slot.
     d.left(300, "first")
     d.taken(400, "third", "op", "t", 50_000, 0, 1)
-    assert pull(d, 400, "forward", "throttle") == [("throttle", "third", 2_500)]
-    d.ended(500, "first", 0, OK, True)
+    assert throttled(d, 400) == [Throttle("third", 2_500)]
+    d.ended(500, "first", 0, Outcome.SUCCEEDED, True)
     d.taken(600, "fourth", "op", "t", 50_000, 0, 1)
-    assert pull(d, 600, "forward", "throttle")[0][:2] == ("forward", "fourth")
+    assert first_of(d, 600) == (Forward, "fourth")
     # Retries have a limit of their own: without one left a request is given up at once.
     again = Limit("again", LimitKind.RATE, 1_000, 1, 1_000, None, "op", False, True)
-    d.shares.limits = RequestLimiter([again], terms, 0)
+    d.quotas.limits = RequestLimiter([again], terms, 0)
     d.taken(20_000, "fifth", "op", "t", 70_000, 0, 1)
     for now, n in ((20_000, 0), (20_100, 1)):
-        assert pull(d, now, "forward", "throttle")[0][:2] == ("forward", "fifth")
-        d.ended(now + 50, "fifth", n, MOOT, False)
-    assert pull(d, 20_200, "forward", "throttle")[0][:2] == ("throttle", "fifth")
+        assert first_of(d, now) == (Forward, "fifth")
+        d.ended(now + 50, "fifth", n, Outcome.NEVER_SENT, False)
+    assert first_of(d, 20_200) == (Throttle, "fifth")
     # A soft one only marks what is over: it comes behind the rest.
-    d.shares.limits = RequestLimiter([pay._replace(soft=True, size=1)], terms, -100_000)
-    soft = [d.taken(700 + i, f"soft{i}", "op", "t", 50_000, 0, 1).over for i in range(2)]
+    d.quotas.limits = RequestLimiter([pay._replace(soft=True, size=1)], terms, -100_000)
+    soft = [d.taken(700 + i, f"soft{i}", "op", "t", 50_000, 0, 1).over_quota for i in range(2)]
     assert soft == [False, True]
 
 
