--- a/grebedyke/rig/limited.py
+++ b/grebedyke/rig/limited.py
@@ -277,17 +277,17 @@
     """As much of a request as limits look at.
 
     Attributes:
-        op: The operation, with its `name`.
+        operation: The operation, with its `name`.
         tenant: The tenant's name.
-        over: Whether it is over a soft limit.
-        asker: The node that it came from; None as it is this node's own.
+        over_quota: Whether it is over a soft limit.
+        origin_node: The node that it came from; None as it is this node's own.
     """
 
     def __init__(self, operation, tenant):
-        self.op = SimpleNamespace(name=operation)
+        self.operation = SimpleNamespace(name=operation)
         self.tenant = tenant
-        self.over = False
-        self.asker = None
+        self.over_quota = False
+        self.origin_node = None
 
 
 def play(seed, seconds=30, **shape):
--- a/grebedyke/rig/taps.py
+++ b/grebedyke/rig/taps.py
@@ -17,7 +17,7 @@
 import msgpack
 
 from grebedyke.consensus.actions import SendMessage
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rate_limits.definitions import LimitKind
 from grebedyke.units import TICKS_PER_SECOND
 
@@ -190,10 +190,13 @@
 class Asked:
     """As much of an invocation as limits look at."""
 
-    __slots__ = ("op", "tenant", "over", "asker")
+    __slots__ = ("operation", "tenant", "over_quota", "origin_node")
 
     def __init__(self, operation, tenant):
-        self.op, self.tenant, self.over, self.asker = operation, tenant, False, None
+        self.operation = operation
+        self.tenant = tenant
+        self.over_quota = False
+        self.origin_node = None
 
 
 def operation(name):
--- a/grebedyke/service/desk.py
+++ b/grebedyke/service/desk.py
@@ -4,15 +4,33 @@
 
 from loguru import logger
 
-from grebedyke import model
+from grebedyke.model import actions
+from grebedyke.model.endpoint_list import EndpointRow
+from grebedyke.model.events import (
+    AttemptEnded,
+    AttemptProgressed,
+    AttemptStarted,
+    ClientLeft,
+    EndpointListUnavailable,
+    EndpointsChanged,
+    PeerMessageReceived,
+    ProbeAnswered,
+    RequestArrived,
+)
 from grebedyke.model.in_flight import Flight, Owed
+from grebedyke.model.outcome import Outcome
 from grebedyke.service import log
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire import reports, words
+from grebedyke.wire import peer_codec, reports
 from grebedyke.wire.executors import BROKEN, UNSENT
 
 # What the state in a call-back means; one that is not here is news of a job under way.
-ENDS = {"done": model.OK, "failed": model.FAULT, "returned": model.FULL, "lost": model.RESET}
+ENDS = {
+    "done": Outcome.SUCCEEDED,
+    "failed": Outcome.FAILED,
+    "returned": Outcome.REJECTED,
+    "lost": Outcome.CONNECTION_RESET,
+}
 
 
 class Desk:
@@ -26,16 +44,16 @@
         self.owed, self.latest, self.watch, self.peers, self.shift = {}, None, None, None, 0
         self.tell_other = None  # where two processes are one node: tells the other one
         self.also_listed = None  # told of each list too
-        self.deeds = {
-            "forward": self.forward,
-            "cancel": self.cancel,
-            "throttle": self.throttle,
-            "error": self.error,
-            "probe": self.probe,
-            "wake": self.wake,
-            "follow": self.follow,
-            "note": self.note,
-            "tell": self.tell,
+        self.carriers = {
+            actions.Forward: self.forward,
+            actions.Cancel: self.cancel,
+            actions.Throttle: self.throttle,
+            actions.Fail: self.error,
+            actions.Probe: self.probe,
+            actions.WakeAt: self.wake,
+            actions.PollEndpointList: self.follow,
+            actions.Note: self.note,
+            actions.SendPeerMessage: self.tell,
         }
 
     def tune(self, most_forwards, most_open, probe_path, probe_wait, margin, tick):
@@ -70,13 +88,14 @@
         # Whatever fails from here on, the invocation is answered in time.
         self.turn.at(max(owed.due - self.tick, now + 1), self.overslept, owed)
         if owed.client:
-            self.dispatcher.taken(now, owed.id, operation, tenant, due, hint, slots)
+            event = RequestArrived(owed.id, operation, tenant, due, hint, slots)
+            self.dispatcher.handle(now, event)
 
     def left(self, now, owed, client):
         if owed.client is client:
             owed.client = None
             self.gauges.count("left")
-            self.dispatcher.left(now, owed.id)
+            self.dispatcher.handle(now, ClientLeft(owed.id))
             self.settle(now, owed)
 
     def news(self, now, id, name, state, result, load=None, ours=True):
@@ -93,13 +112,14 @@
         if state == "started":
             if not flight.began:
                 flight.began = True
-                self.dispatcher.started(now, owed.id, flight.n, flight.call.opened)
+                event = AttemptStarted(owed.id, flight.n, flight.call.opened)
+                self.dispatcher.handle(now, event)
         elif state not in ENDS:
             flight.began = True
-            self.dispatcher.progressed(now, owed.id, flight.n)
+            self.dispatcher.handle(now, AttemptProgressed(owed.id, flight.n))
         elif flight.again and state != "done":
             # It may be told of the earlier forward there: then this one is not known to be over.
-            self.give_up(flight, model.RESET)
+            self.give_up(flight, Outcome.CONNECTION_RESET)
         else:
             self.end(now, flight, ENDS[state], result, reports.free(load))
 
@@ -120,37 +140,34 @@
         # An executor that never took it has no call-backs to make of it.
         flight.untold = how == UNSENT or how != BROKEN and status != 202
         if how == UNSENT:
-            self.end(now, flight, model.NO_CONNECTION)
+            self.end(now, flight, Outcome.CONNECT_FAILED)
         elif how == BROKEN:
-            self.end(now, flight, model.RESET)
+            self.end(now, flight, Outcome.CONNECTION_RESET)
         elif status == 202:
             flight.accepted = True
         else:
-            outcome = model.FULL if unrun and status in (503, 504) else model.FAULT
+            outcome = Outcome.REJECTED if unrun and status in (503, 504) else Outcome.FAILED
             self.end(now, flight, outcome, free=reports.free(reports.figures(load)))
 
     def listed(self, now, whole, rows):
         self.pool.listed(whole, [(row[0], row[1], row[5], row[6]) for row in rows])
-        self.dispatcher.listed(
-            now,
-            whole,
-            [
-                (name, zone, kind, cell, state, since and since * 10 + self.shift, weight)
-                for name, _, zone, kind, cell, state, since, weight in rows
-            ],
-        )
+        changed = [
+            EndpointRow(name, zone, kind, cell, state, since and since * 10 + self.shift, weight)
+            for name, _, zone, kind, cell, state, since, weight in rows
+        ]
+        self.dispatcher.handle(now, EndpointsChanged(whole, changed))
         if self.also_listed:
             self.also_listed(now, whole, rows)
 
     def unlisted(self, now):
-        self.dispatcher.unlisted(now)
+        self.dispatcher.handle(now, EndpointListUnavailable())
 
     def books(self):
         """For a process that goes on with this one's work: the executors with their addresses."""
         decides = self.dispatcher
         return {
-            "executors": decides.fleet.books(),
-            "budget": decides.budget.books(),
+            "executors": decides.endpoints.record(),
+            "budget": decides.retry_budget.export_state(),
             "places": [
                 (e.name, e.address, e.since) for e in self.pool.endpoints.values() if e.listed and e.address
             ],
@@ -160,20 +177,22 @@
         self.pool.listed(
             True, [(name, tuple(place), "healthy", since) for name, place, since in books["places"]]
         )
-        self.dispatcher.fleet.recall(now, books["executors"])
+        self.dispatcher.endpoints.restore(now, books["executors"])
         # A process of before this had no such books: what it has sent is unknown.
-        self.dispatcher.budget.recall(now, *books.get("budget") or ((), (), 0, 0))
-        self.dispatcher.listed(now, False, [])
+        self.dispatcher.retry_budget.import_state(now, *books.get("budget") or ((), (), 0, 0))
+        self.dispatcher.handle(now, EndpointsChanged(False, []))
 
     def by_hand(self, now, name, out):
         if out:
             # What still connects would reach an executor of which the operators were told that it is out.
             for flight in [f for owed in self.owed.values() for f in owed.flights if f.endpoint.name == name]:
                 self.take_back(now, flight)
-        return self.dispatcher.by_hand(now, name, out)
+        return self.dispatcher.set_banned(now, name, out)
 
     def heard(self, now, by, body):
-        words.deliver(self.dispatcher, now, by, body)
+        message = peer_codec.decode(body)
+        if message:
+            self.dispatcher.handle(now, PeerMessageReceived(by, message))
 
     # Ends of forwards and invocations.
 
@@ -183,11 +202,12 @@
         if flight.call and not flight.call.over:
             # A call-back may come before its 202; an answer that never ends would keep its line for good.
             self.turn.at(max(now + 1, flight.call.since + self.probe_wait), lambda now: flight.call.drop())
-        if outcome != model.OK:
+        if outcome != Outcome.SUCCEEDED:
             self.gauges.count(log.ENDS[outcome])
-        if outcome == model.OK and owed.client:
+        if outcome == Outcome.SUCCEEDED and owed.client:
             self.reply(now, owed, 200, "succeeded", result)
-        self.dispatcher.ended(now, owed.id, flight.n, outcome, owed.client is None, free)
+        event = AttemptEnded(owed.id, flight.n, outcome, owed.client is None, free)
+        self.dispatcher.handle(now, event)
         self.settle(now, owed)
 
     def reply(self, now, owed, status, outcome, body=b"", headers=""):
@@ -201,7 +221,7 @@
         """What has not left this machine, its connection still coming up or its bytes still here."""
         if flight.call and not (flight.done or flight.call.over or flight.call.sent()):
             flight.call.drop()
-            self.end(now, flight, model.MOOT)
+            self.end(now, flight, Outcome.NEVER_SENT)
 
     def settle(self, now, owed):
         if owed.client is None:
@@ -252,7 +272,7 @@
                 # send it again at once, beside a forward that its executor does not know to be given up.
                 return self.overslept(now, flight.owed)
             unsent = not (flight.accepted or flight.began or flight.call.over or flight.call.sent())
-            outcome = model.NO_CONNECTION if unsent else model.TIMEOUT
+            outcome = Outcome.CONNECT_FAILED if unsent else Outcome.TIMEOUT
             self.give_up(flight, outcome)
             self.end(now, flight, outcome)  # now: there is no time for another, and an answer is due
 
@@ -261,7 +281,7 @@
         with it.
         """
         if not (flight.done or flight.accepted or flight.began or flight.call.over):
-            outcome = model.RESET if flight.call.sent() else model.NO_CONNECTION
+            outcome = Outcome.CONNECTION_RESET if flight.call.sent() else Outcome.CONNECT_FAILED
             # The 202 may be under way, or the line's end slower than the next forward: told by DELETE as
             # well.
             flight.call.drop()
@@ -272,15 +292,15 @@
             if self.gauges.few("odd"):
                 logger.warning("invocation unanswered at its due time: errored", event="overslept")
             self.reply(now, owed, 500, "errored")
-            self.dispatcher.left(now, owed.id)
+            self.dispatcher.handle(now, ClientLeft(owed.id))
             for flight in owed.flights:
                 self.overdue(now, flight)
             self.settle(now, owed)
 
     # What the module decided.
 
-    def do(self, now, decision):
-        self.deeds[decision[0]](now, *decision[1:])
+    def do(self, now, action):
+        self.carriers[type(action)](now, *action)
 
     def forward(self, now, id, name, allowed):
         owed, endpoint = self.owed[id], self.pool.endpoint(name)
@@ -302,12 +322,12 @@
         self.turn.at(now + self.probe_wait, self.unheard, flight)
 
     def unmade(self, now, flight):
-        self.end(now, flight, model.MOOT)
+        self.end(now, flight, Outcome.NEVER_SENT)
 
     def cancel(self, now, id, n):
         flight = self.owed[id].flights[n]
         if not flight.done:
-            self.give_up(flight, model.CANCELLED)
+            self.give_up(flight, Outcome.CANCELLED)
 
     def throttle(self, now, id, back):
         headers = f"Retry-After: {back / TICKS_PER_SECOND:g}\r\n" if back > 0 else ""
@@ -328,33 +348,34 @@
         def once(now, outcome, text=""):
             if not sent[0]:
                 sent[0] = True
-                self.dispatcher.probed(now, name, outcome, *reports.room(reports.figures(text)))
+                event = ProbeAnswered(name, outcome, *reports.room(reports.figures(text)))
+                self.dispatcher.handle(now, event)
 
         def came(how, status, headers, body):
             text = (body or headers.get(b"x-server-load", b"")).decode("latin-1")
             outcome = (
-                model.NO_CONNECTION
+                Outcome.CONNECT_FAILED
                 if how == UNSENT
-                else model.RESET
+                else Outcome.CONNECTION_RESET
                 if how == BROKEN
-                else model.OK
+                else Outcome.SUCCEEDED
                 if status == 200
-                else model.FULL
+                else Outcome.REJECTED
                 if status == 503
-                else model.FAULT
+                else Outcome.FAILED
             )
             self.turn.put(once, outcome, text)
 
         def silent(now):
             call.drop()
-            once(now, model.TIMEOUT)
+            once(now, Outcome.TIMEOUT)
 
         self.gauges.count("probes")
         call = endpoint.call(b"GET", self.probe_path, (), b"", came)
         self.turn.at(now + self.probe_wait, silent)
 
-    def tell(self, now, to, *word):
-        self.peers.send(to, words.pack(*word))
+    def tell(self, now, to, message):
+        self.peers.send(to, peer_codec.encode(message))
 
     def wake(self, now, at):
         self.turn.at(at, lambda now: None)
