--- /dev/null
+++ b/grebedyke/commands/failing.py
@@ -0,0 +1,21 @@
+"""How commands end: exit codes, and one line for a failure."""
+
+import sys
+from enum import IntEnum
+
+import click
+
+
+class ExitCode(IntEnum):
+    """The exit codes of all commands."""
+
+    OK = 0
+    CANNOT_SERVE = 1
+    BAD_INPUT = 2
+    RULE_BROKEN = 3
+
+
+def fail(message, code=ExitCode.BAD_INPUT):
+    """Prints one line and ends the program."""
+    click.echo(f"grebedyke: {message}", err=True)
+    sys.exit(code)
--- a/grebedyke/commands/scale.py
+++ b/grebedyke/commands/scale.py
@@ -6,7 +6,12 @@
 
 import click
 
-from grebedyke.commands.say import fail
+from grebedyke.commands.failing import ExitCode, fail
+
+LONGEST_SIMULATION = 20.0
+"""Seconds that are counted in simulated time at most."""
+
+LEAST_WAITS_PER_LEASE = 4
 
 
 @click.command()
@@ -60,24 +65,7 @@
 @click.option("--build", help="A build broken on purpose, which must be caught.")
 @click.option("--simulated", is_flag=True, help="The same fleet in simulated time beside it.")
 @click.option("--json", "json_path", type=click.Path(dir_okay=False), help="All figures to this file.")
-def scale(
-    nodes,
-    real,
-    seed,
-    seconds,
-    scene,
-    lead,
-    each,
-    lease,
-    wait,
-    loss,
-    delay,
-    host,
-    port,
-    build,
-    simulated,
-    json_path,
-):
+def scale(json_path, simulated, **options):
     """Plays a scene with hollow and real nodes on this machine; exit code 3 where a limit is exceeded or an
     invariant broke.
 
@@ -86,65 +74,79 @@
       grebedyke scale --nodes 40 --real 3 --for 20
       grebedyke scale --nodes 760 --real 20 --seed 1 --for 120 --scene cut --json cut.json
     """
-    from grebedyke.emulators import http_messages
-    from grebedyke.rig import broken, figures
-    from grebedyke.rig import scale as scales
+    from grebedyke.rig import figures
+
+    _check(options)
+    result = _play(options, simulated)
+    for line in figures.lines(result):
+        click.echo(line)
+    for line in _difference_lines(result):
+        click.echo(line)
+    for line in _agreement_lines(result):
+        click.echo(line)
+    if json_path:
+        Path(json_path).write_text(json.dumps(result, indent=1, default=str) + "\n")
+    violations = [*figures.verdict(result)]
+    for line in violations:
+        click.echo(line)
+    raise SystemExit(ExitCode.RULE_BROKEN if violations else ExitCode.OK)
+
+
+def _check(options):
+    """Ends the program where the options do not go together."""
+    from grebedyke.rig import broken
 
     builds = broken.BUILDS | broken.LIMITS | broken.SCALE
-    if build and build not in builds:
+    if options["build"] and options["build"] not in builds:
         fail(f"--build is one of these: {'; '.join(builds)}")
-    if wait * 4 > lease:
-        fail(f"--lease is under four times --wait: {lease:g}")
+    if options["wait"] * LEAST_WAITS_PER_LEASE > options["lease"]:
+        fail(f"--lease is under four times --wait: {options['lease']:g}")
+
+
+def _play(options, simulated):
+    """Returns what the run gives; where it fails, one line, and the program ends."""
+    from grebedyke.emulators import http_messages
+    from grebedyke.rig import scale as scales
+
     try:
-        host = host and http_messages.parse_loopback_host(host)
+        if options["host"]:
+            options = {**options, "host": http_messages.parse_loopback_host(options["host"])}
+        lead = None if options["lead"] == "any" else options["lead"]
         result = asyncio.run(
-            scales.play(
-                lambda text: click.echo(text, err=True),
-                nodes=nodes,
-                real=real,
-                seed=seed,
-                seconds=seconds,
-                scene=scene,
-                lead=None if lead == "any" else lead,
-                each=each,
-                lease=lease,
-                wait=wait,
-                loss=loss,
-                delay=delay,
-                host=host,
-                port=port,
-                build=build,
-            )
+            scales.play(lambda text: click.echo(text, err=True), **{**options, "lead": lead})
         )
         if simulated:
-            from grebedyke.rig.simulated import beside
-
-            result["simulated"] = beside(
-                scales.Run(nodes=nodes, real=0, seed=seed, scene=scene, lease=lease, wait=wait),
-                min(seconds, 20.0),
-            )
+            result["simulated"] = _play_simulated(options)
+        return result
     except (scales.Unfit, ValueError) as problem:
         fail(str(problem))
     except (KeyboardInterrupt, asyncio.CancelledError):
-        fail("stopped", 1)
+        fail("stopped", ExitCode.CANNOT_SERVE)
     except (OSError, TimeoutError) as problem:
-        fail(str(problem) or repr(problem), 1)
-    for line in figures.lines(result):
-        click.echo(line)
+        fail(str(problem) or repr(problem), ExitCode.CANNOT_SERVE)
+
+
+def _play_simulated(options):
+    """Plays the same fleet in simulated time, all nodes alike."""
+    from grebedyke.rig import scale as scales
+    from grebedyke.rig.simulated import beside
+
+    same = {name: options[name] for name in ("nodes", "seed", "scene", "lease", "wait")}
+    return beside(scales.Run(real=0, **same), min(options["seconds"], LONGEST_SIMULATION))
+
+
+def _difference_lines(result):
+    """Yields a line for each count in which hollow and real nodes differ."""
     for row in result["hollow_beside_real"]:
         if not row["within"]:
-            click.echo(
+            yield (
                 f"hollow and real differ: {row['role']} {row['count']}: {row['hollow']:.4g} and "
                 f"{row['real']:.4g}: {row['why']}"
             )
-    for when, took in result["times_s"].items():
-        click.echo(
-            f"all agree {when.removeprefix('at the ')}: "
-            + ("not in time" if took is None else f"{took:.1f} s")
-        )
-    if json_path:
-        Path(json_path).write_text(json.dumps(result, indent=1, default=str) + "\n")
-    wrong = [*figures.verdict(result)]
-    for line in wrong:
-        click.echo(line)
-    raise SystemExit(3 if wrong else 0)
+
+
+def _agreement_lines(result):
+    """Yields a line for each time by which all nodes were to agree."""
+    for moment, seconds in result["times_s"].items():
+        took = "not in time" if seconds is None else f"{seconds:.1f} s"
+        yield f"all agree {moment.removeprefix('at the ')}: {took}"
--- a/grebedyke/fleetlog/__init__.py
+++ b/grebedyke/fleetlog/__init__.py
@@ -1,4 +1,4 @@
-"""Reads the logs of a whole fleet and gives by the second what all nodes together did.
+"""Reads the logs of a whole fleet and sums up, second by second, what all nodes together did.
 
-A day of hundreds of nodes cannot be looked into by hand: each log alone shows next to nothing.
+One node's log shows next to nothing of the fleet, and hundreds of logs cannot be read by hand.
 """
--- a/tests/test_fleetlog.py
+++ b/tests/test_fleetlog.py
@@ -1,48 +1,50 @@
+"""Sums over the logs of a fleet."""
+
 from click.testing import CliRunner
 
 from grebedyke.commands.main import cli
-from grebedyke.fleetlog import reading, summing
+from grebedyke.fleetlog.parsing import parse_line
+from grebedyke.fleetlog.totals import COLUMNS, FleetTotals
 from grebedyke.service.log import Gauges
 
 
-def line(second, node, words, level="INFO"):
-    return f"2026-12-01T10:00:{second:06.3f}+0000 {level} {node} {words}"
+def line(second, node, message, level="INFO"):
+    return f"2026-12-01T10:00:{second:06.3f}+0000 {level} {node} {message}"
 
 
-def fleet(*lines, span=1.0):
-    f = summing.Fleet(span)
+def totals_of(*lines, span=1.0):
+    totals = FleetTotals(span)
     for text in lines:
-        f.add("file", reading.read(text))
-    return f
+        totals.add("file", parse_line(text))
+    return totals
 
 
 def test_counts_are_spread_over_the_time_that_they_are_of():
-    rows = fleet(
+    rows = totals_of(
         line(10, "a", "counts taken=0"),
         line(12, "a", "counts taken=8 full=2 out=1 listed=4"),
         line(10.5, "b", "counts taken=0"),
         line(11.5, "b", "counts taken=3 out=2 listed=4"),
     ).rows()
-    by_second = {round(at): row for at, row in rows}
-    first = min(by_second)
+    by_second = {round(row.time): row.values for row in rows}
     # Of a's line the seconds 10 and 11 get half each, of b's 10.5 to 11.5 half each.
-    at = sorted(by_second)
-    tens = [by_second[s] for s in at][-2:]
-    assert [round(r["taken"], 2) for r in tens] == [5.5, 5.5] and [r["full"] for r in tens] == [1, 1]
-    assert first == 0 and all(0 <= r["nodes"] <= 2.01 for r in by_second.values())
-    assert round(sum(r["taken"] for r in by_second.values()), 6) == 11
+    last_two = [by_second[second] for second in sorted(by_second)][-2:]
+    assert [round(values["taken"], 2) for values in last_two] == [5.5, 5.5]
+    assert [values["full"] for values in last_two] == [1, 1]
+    assert min(by_second) == 0 and all(0 <= values["nodes"] <= 2.01 for values in by_second.values())
+    assert round(sum(values["taken"] for values in by_second.values()), 6) == 11
 
 
-def test_a_node_that_began_anew_does_not_spread_over_its_death():
-    rows = fleet(
+def test_a_restarted_nodes_counts_are_not_spread_over_its_absence():
+    rows = totals_of(
         line(1, "a", "counts taken=5"), line(2, "a", "counts taken=5"), line(40, "a", "counts taken=6")
     ).rows()
-    busy = [at for at, row in rows if row["taken"] > 0]
-    assert len(rows) > 38 and not any(3 < at < 38 for at in busy)
+    busy_times = [row.time for row in rows if row.values["taken"] > 0]
+    assert len(rows) > 38 and not any(3 < time < 38 for time in busy_times)
 
 
-def test_warnings_are_counted_by_kind_and_odd_lines_apart():
-    f = fleet(
+def test_warnings_are_counted_by_pattern_and_unreadable_lines_apart():
+    totals = totals_of(
         line(1, "a", "counts taken=1"),
         line(1.2, "a", "discovery: version 3 after 9", "WARNING"),
         line(1.4, "b", "discovery: version 5 after 7", "WARNING"),
@@ -50,13 +52,14 @@
         "",
         "2026-99-01T10:00:00.000+0000 INFO a counts taken=1",
     )
-    assert f.events.most_common() == [(("WARNING", "discovery: version # after #"), 2)] and f.odd == 3
-    assert sum(row["warnings"] for _, row in f.rows()) == 2
+    assert totals.events.most_common() == [(("WARNING", "discovery: version # after #"), 2)]
+    assert totals.unreadable_lines == 3
+    assert sum(row.values["warnings"] for row in totals.rows()) == 2
 
 
 def test_all_that_a_node_counts_has_its_column():
     # A counter that the node gains and the tool drops would pass for nothing having happened.
-    assert {*Gauges().counts} - {*summing.COLUMNS} == {"crowded", "odd", "faults"}
+    assert {*Gauges().counts} - {*COLUMNS} == {"crowded", "odd", "faults"}
 
 
 def test_the_command_reads_folders_and_writes_csv(tmp_path):
