--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,8 @@
-"""What one node costs beside a bare relay: CPU an invocation and added wait, by rate, executors, connections.
+"""What one node costs beside a bare relay: CPU a request and added wait, by rate, executors, connections.
 
     python -m benchmarks.capacity [--seconds 5] [--rounds 3]
 
-The same stand-ins and load for both, in turn. Added wait is the wait from the intended arrival, as jobs take
+The same emulators and load for both, in turn. Added wait is the wait from the intended arrival, as jobs take
 no time. A row in which the load tool itself ran over 5 ms late says so: its waits are the tool's, its CPU
 counts.
 """
@@ -12,6 +12,7 @@
 import sys
 from pathlib import Path
 from statistics import median
+from typing import NamedTuple
 
 import click
 
@@ -20,79 +21,135 @@
 from grebedyke.load.fleet import FleetShape, LocalFleet
 
 VIEW = Operation("view", "safe", 4.0)
+NO_WORK = 1e-6
 COMMANDS = {"node": (sys.executable, "-m", "grebedyke"), "relay": (sys.executable, "-m", "benchmarks.relay")}
+WARM_UP_SECONDS = 1.0
+NOTABLE_LAG_MS = 5
+
+
+class Case(NamedTuple):
+    """What is varied.
+
+    Attributes:
+        name: For the table.
+        rate: Requests a second.
+        executors: How many executors.
+        connections: How many idle connections of clients.
+    """
+
+    name: str
+    rate: float
+    executors: int = 10
+    connections: int = 0
+
+
+class Cost(NamedTuple):
+    """What a run came to.
+
+    Attributes:
+        cpu_ms: CPU a request in milliseconds.
+        p50_ms: Median of the added wait in milliseconds.
+        p99_ms: 99th percentile of the added wait in milliseconds.
+        lag_ms: How late the load tool itself ran in milliseconds.
+        succeeded: Share of requests that succeeded.
+    """
+
+    cpu_ms: float
+    p50_ms: float
+    p99_ms: float
+    lag_ms: float
+    succeeded: float
 
 
 def cpu(pid):
-    """Seconds of CPU that a process has used."""
+    """Returns the seconds of CPU that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def load_shape(rate, seconds):
-    return LoadShape(
-        operations=(VIEW,), rate=rate, seconds=seconds, size_law=SizeLaw.CONSTANT, mean_work=1e-6
+def draw_load(seed, rate, seconds):
+    """Returns arrivals whose jobs take no time."""
+    shape = LoadShape(
+        operations=(VIEW,), rate=rate, seconds=seconds, size_law=SizeLaw.CONSTANT, mean_work=NO_WORK
     )
+    return draw_arrivals(seed, shape)
 
 
-async def one(command, rate, seconds, executors, connections):
-    """(CPU ms an invocation, p50 and p99 of the added wait in ms, tool late in ms, share that succeeded)."""
-    fleet = LocalFleet((VIEW,), FleetShape(nodes=1, executors=executors, slots=64), command=COMMANDS[command])
-    open_ = []
+async def measure(command, case, seconds):
+    """Returns the `Cost` of one run of a node or a relay."""
+    shape = FleetShape(nodes=1, executors=case.executors, slots=64)
+    fleet = LocalFleet((VIEW,), shape, command=COMMANDS[command])
+    writers = []
     try:
         await fleet.start()
-        for _ in range(connections):
-            open_.append(await asyncio.open_connection(*fleet.nodes["n0"]))
-        clients = OpenLoopClients(fleet.nodes, retries=0)
-        # The first second warms connections and books.
-        await clients.play(draw_arrivals(1, load_shape(rate, 1.0)))
+        for _ in range(case.connections):
+            _, writer = await asyncio.open_connection(*fleet.nodes["n0"])
+            writers.append(writer)
+        # The first second warms connections and tables.
+        await OpenLoopClients(fleet.nodes, retries=0).play(draw_load(1, case.rate, WARM_UP_SECONDS))
         clients = OpenLoopClients(fleet.nodes, retries=0)
         pid = fleet.processes["n0"].pid
-        before = cpu(pid)
-        await clients.play(draw_arrivals(2, load_shape(rate, seconds)))
-        used = cpu(pid) - before
-        counts, waits = clients.ledger.counts(), clients.wait_percentiles()
-        return (
-            used * 1000 / max(counts["taken"], 1),
-            waits["p50"],
-            waits["p99"],
-            clients.lag * 1000,
-            counts["succeeded"] / max(counts["taken"], 1),
-        )
+        cpu_before = cpu(pid)
+        await clients.play(draw_load(2, case.rate, seconds))
+        return _cost(clients, cpu(pid) - cpu_before)
     finally:
-        for _, writer in open_:
+        for writer in writers:
             writer.close()
         await fleet.close()
 
 
+def _cost(clients, cpu_seconds):
+    counts = clients.ledger.counts()
+    waits = clients.wait_percentiles()
+    taken = max(counts["taken"], 1)
+    return Cost(
+        cpu_ms=cpu_seconds * 1000 / taken,
+        p50_ms=waits["p50"],
+        p99_ms=waits["p99"],
+        lag_ms=clients.lag * 1000,
+        succeeded=counts["succeeded"] / taken,
+    )
+
+
 async def rows(cases, seconds, rounds):
-    for name, rate, executors, connections in cases:
-        told = {command: [] for command in COMMANDS}
+    """Yields a row of the table for each case: medians of its rounds, node and relay in turn."""
+    for case in cases:
+        costs = {command: [] for command in COMMANDS}
         for _ in range(rounds):
             for command in COMMANDS:
-                told[command].append(await one(command, rate, seconds, executors, connections))
-        mid = {command: [median(x) for x in zip(*runs)] for command, runs in told.items()}
-        node, relay = mid["node"], mid["relay"]
-        late, served = max(node[3], relay[3]), min(node[4], relay[4])
-        cells = (
-            name,
-            f"{node[0]:.2f}",
-            f"{relay[0]:.2f}",
-            f"{node[0] / relay[0]:.1f}",
-            f"{node[1]:.1f} / {node[2]:.1f}",
-            f"{relay[1]:.1f} / {relay[2]:.1f}",
-            f"{served:.3f}" + (f" (tool {late:.0f} ms late)" if late > 5 else ""),
-        )
-        yield f"| {' | '.join(cells)} |"
+                costs[command].append(await measure(command, case, seconds))
+        medians = {
+            command: Cost(*(median(values) for values in zip(*runs, strict=True)))
+            for command, runs in costs.items()
+        }
+        yield _row(case.name, medians["node"], medians["relay"])
+
+
+def _row(name, node, relay):
+    lag = max(node.lag_ms, relay.lag_ms)
+    succeeded = f"{min(node.succeeded, relay.succeeded):.3f}"
+    if lag > NOTABLE_LAG_MS:
+        succeeded += f" (tool {lag:.0f} ms late)"
+    cells = (
+        name,
+        f"{node.cpu_ms:.2f}",
+        f"{relay.cpu_ms:.2f}",
+        f"{node.cpu_ms / relay.cpu_ms:.1f}",
+        f"{node.p50_ms:.1f} / {node.p99_ms:.1f}",
+        f"{relay.p50_ms:.1f} / {relay.p99_ms:.1f}",
+        succeeded,
+    )
+    return f"| {' | '.join(cells)} |"
 
 
 @click.command()
 @click.option("--seconds", default=5.0, type=click.FloatRange(1, 60))
 @click.option("--rounds", default=3, type=click.IntRange(1, 20))
 def main(seconds, rounds):
-    cases = [(f"{rate} a second", rate, 10, 0) for rate in (50, 100, 200, 400)]
-    cases += [(f"{n} executors, 100 a second", 100, n, 0) for n in (100, 1000)]
-    cases += [(f"{n} idle connections, 100 a second", 100, 10, n) for n in (100, 250)]
+    """Prints the table."""
+    cases = [Case(f"{rate} a second", rate) for rate in (50, 100, 200, 400)]
+    cases += [Case(f"{n} executors, 100 a second", 100, executors=n) for n in (100, 1000)]
+    cases += [Case(f"{n} idle connections, 100 a second", 100, connections=n) for n in (100, 250)]
 
     async def play():
         async for row in rows(cases, seconds, rounds):
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -5,6 +5,8 @@
 import os
 import sys
 import tempfile
+from contextlib import asynccontextmanager
+from dataclasses import dataclass
 from pathlib import Path
 from time import thread_time
 
@@ -15,93 +17,145 @@
 from grebedyke.load.fleet import free_port
 from grebedyke.service.configuration import open_dispatcher, read_node
 
-READY = 30.0
-
-
-def told(folder, executors, nodes, fleet, known, discovery, own):
-    """A node's file. The other nodes are addresses at which nobody is."""
-    said = {
-        "name": "n5",
-        "listen": own,
-        "discovery": discovery,
-        "seed": "n5",
-        "known": known,
-        "settings": settings(nodes),
-    }
-    if fleet:
-        said["peers"] = [f"127.9.{i // 250}.{i % 250 + 1}:9020" for i in range(nodes)]
-        said["peers"][5] = "127.0.0.1:%d" % free_port()
-        said |= {
-            "fleet": {"name": "f", "folder": str(Path(folder, "folder")), "voters": [0, 1, 2, 3, 4]},
+START_TIMEOUT = 30.0
+SETTLING_TIME = 1.0
+"""Seconds from when a node is ready until its idle CPU is measured."""
+RELOADS = 3
+LIMIT_COUNT = 34
+NODE_NUMBER = 5
+BYTES_PER_KILOBYTE = 1024
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class NodeFile:
+    """What is in a node's configuration file.
+
+    Attributes:
+        folder: For the node's record.
+        node_count: How many nodes its fleet has; the others are addresses at which nobody is.
+        in_fleet: Whether the components of a fleet are on.
+        known: The endpoint list that it starts with.
+        discovery: Address of discovery.
+        listen: Address for clients.
+    """
+
+    folder: str
+    node_count: int
+    in_fleet: bool
+    known: dict
+    discovery: str
+    listen: str
+
+    def write(self):
+        """Writes the file into its folder and returns its path."""
+        path = Path(self.folder, "node.json")
+        path.write_text(json.dumps(self.configuration()))
+        return path
+
+    def configuration(self):
+        """Returns the configuration."""
+        configuration = {
+            "name": f"n{NODE_NUMBER}",
+            "listen": self.listen,
+            "discovery": self.discovery,
+            "seed": f"n{NODE_NUMBER}",
+            "known": self.known,
+            "settings": settings(self.node_count),
+        }
+        return configuration | self._fleet_sections() if self.in_fleet else configuration
+
+    def _fleet_sections(self):
+        peers = [f"127.9.{number // 250}.{number % 250 + 1}:9020" for number in range(self.node_count)]
+        peers[NODE_NUMBER] = "127.0.0.1:%d" % free_port()
+        limits = [
+            {"name": f"limit {number}", "tenant": f"t{number}", "underWay": 4 * self.node_count, "floor": 1}
+            for number in range(LIMIT_COUNT)
+        ]
+        return {
+            "peers": peers,
+            "fleet": {"name": "f", "folder": str(Path(self.folder, "folder")), "voters": [0, 1, 2, 3, 4]},
             "maintenance": {},
-            "shares": {
-                "limits": [
-                    {"name": f"limit {i}", "tenant": f"t{i}", "underWay": 4 * nodes, "floor": 1}
-                    for i in range(34)
-                ]
-            },
+            "shares": {"limits": limits},
         }
-    return said
 
 
-def process(against, size, executors=760, nodes=760, fleet=True, span=10.0):
-    """Resident memory of a node process that has its list and serves nobody, and its CPU."""
+@asynccontextmanager
+async def running_node(path, address):
+    """Runs a node by its file, and gives its process once it is ready."""
+    environ = {key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")}
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "grebedyke",
+        env=environ | {"BALANCER_CONFIG": str(path)},
+        stdin=asyncio.subprocess.DEVNULL,
+        stderr=asyncio.subprocess.DEVNULL,
+    )
+    try:
+        async with asyncio.timeout(START_TIMEOUT):
+            while (await http_messages.call(address, "GET", "/up", timeout=0.5)).status != 200:
+                await asyncio.sleep(0.1)
+        yield process
+    finally:
+        process.terminate()
+        await process.wait()
 
-    async def play():
-        discovery = await DiscoveryEmulator().listen()
+
+def resident_bytes(pid):
+    """Returns the resident memory of a process."""
+    fields = Path(f"/proc/{pid}/status").read_text().split()
+    return int(fields[fields.index("VmRSS:") + 1]) * BYTES_PER_KILOBYTE
+
+
+async def measure_idle(executors, nodes, fleet, span):
+    """Returns (resident bytes, CPU of a core) of a node that has its list and serves nobody."""
+    discovery = await DiscoveryEmulator().listen()
+    try:
         known = json.loads(listing(executors, discovery))
         with tempfile.TemporaryDirectory(prefix="grebedyke-") as folder:
-            own = "127.0.0.1", free_port()
-            path = Path(folder, "node.json")
-            path.write_text(
-                json.dumps(
-                    told(folder, executors, nodes, fleet, known, "%s:%d" % discovery.address, "%s:%d" % own)
-                )
+            address = ("127.0.0.1", free_port())
+            file = NodeFile(
+                folder=folder,
+                node_count=nodes,
+                in_fleet=fleet,
+                known=known,
+                discovery="%s:%d" % discovery.address,
+                listen="%s:%d" % address,
             )
-            environ = {k: v for k, v in os.environ.items() if not k.startswith("BALANCER_")}
-            child = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "grebedyke",
-                env=environ | {"BALANCER_CONFIG": str(path)},
-                stdin=asyncio.subprocess.DEVNULL,
-                stderr=asyncio.subprocess.DEVNULL,
-            )
-            try:
-                async with asyncio.timeout(READY):
-                    while (await http_messages.call(own, "GET", "/up", timeout=0.5)).status != 200:
-                        await asyncio.sleep(0.1)
-                await asyncio.sleep(1.0)
-                before = cpu(child.pid)
+            async with running_node(file.write(), address) as process:
+                await asyncio.sleep(SETTLING_TIME)
+                cpu_before = cpu(process.pid)
                 await asyncio.sleep(span)
-                used = (cpu(child.pid) - before) / span
-                status = Path(f"/proc/{child.pid}/status").read_text().split()
-                return int(status[status.index("VmRSS:") + 1]) * 1024, used
-            finally:
-                child.terminate()
-                await child.wait()
-                await discovery.close()
-
-    resident, used = asyncio.run(play())
-    name = "a node process" + (" of a fleet" if fleet else "")
+                used = (cpu(process.pid) - cpu_before) / span
+                return resident_bytes(process.pid), used
+    finally:
+        await discovery.close()
+
+
+def process(against, size, executors=760, nodes=760, fleet=True, span=10.0):
+    """Returns the row of a node process: resident memory and idle CPU."""
+    resident, used = asyncio.run(measure_idle(executors, nodes, fleet, span))
+    name = "a node process of a fleet" if fleet else "a node process"
     return [row(name, against, size, resident=resident, CPU=used)]
 
 
 def reloaded(against, size, nodes=760):
-    """CPU to read and check a node's file and build what it says, as after SIGHUP."""
+    """Returns the row of a reload: CPU to read and check a file and build what it says, as after SIGHUP."""
     with tempfile.TemporaryDirectory(prefix="grebedyke-") as folder:
-        path, took = Path(folder, "node.json"), []
-        path.write_text(json.dumps(told(folder, 0, nodes, True, {}, "127.0.0.1:9", "127.0.0.1:8")))
-        for _ in range(3):
+        file = NodeFile(
+            folder=folder,
+            node_count=nodes,
+            in_fleet=True,
+            known={},
+            discovery="127.0.0.1:9",
+            listen="127.0.0.1:8",
+        )
+        path = file.write()
+        times = []
+        for _ in range(RELOADS):
             start = thread_time()
-            said = read_node({"BALANCER_CONFIG": str(path)})
-            open_dispatcher(said["seed"], said["settings"])
-            took.append(thread_time() - start)
-        return [
-            row(
-                "a reload of the file",
-                against,
-                size,
-                **{"CPU a change": min(took), "bytes of a file": path.stat().st_size},
-            )
-        ]
+            configuration = read_node({"BALANCER_CONFIG": str(path)})
+            open_dispatcher(configuration["seed"], configuration["settings"])
+            times.append(thread_time() - start)
+        quantities = {"CPU a change": min(times), "bytes of a file": path.stat().st_size}
+        return [row("a reload of the file", against, size, **quantities)]
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,7 +1,7 @@
 """A bare relay on BufferedProtocol that decides nothing: a node's cost is measured against it.
 
-Told like a node (BALANCER_CONFIG). Each invocation goes to the next executor of the list, once, with no limit
-of time, no health, no drains; what the executor calls back is the answer. No rule is kept by it.
+It is started like a node (BALANCER_CONFIG). Each request goes to the next executor of the list, once, without
+deadline, health or drains; what the executor calls back is the answer. It keeps none of the rules.
 """
 
 import asyncio
@@ -14,75 +14,107 @@
 
 
 class Relay:
+    """What all connections share.
+
+    Attributes:
+        loop: The event loop.
+        executors: Addresses.
+        next_executor: Number of the next request, by which its executor is chosen.
+        clients: By request id, the `ClientConnection` that waits for the answer.
+        idle: By executor, each `ExecutorConnection` that can take a request.
+    """
+
     def __init__(self, loop, executors):
-        self.loop, self.executors, self.turn, self.owed = loop, executors, 0, {}
+        self.loop = loop
+        self.executors = executors
+        self.next_executor = 0
+        self.clients = {}
         self.idle = {address: [] for address in executors}
 
     def touch(self, connection):
+        """Has what a connection has to send written at the end of this pass of the loop."""
         self.loop.call_soon(connection.flush)
 
-    def hand_in(self, client, method, target, headers, body):
+    def forward(self, client, method, target, headers, body):
+        """Sends a client's request to the next executor."""
         id = headers[b"x-request-id"]
-        self.owed[id.decode()] = client
-        address = self.executors[self.turn % len(self.executors)]
-        self.turn += 1
+        self.clients[id.decode()] = client
+        address = self.executors[self.next_executor % len(self.executors)]
+        self.next_executor += 1
         pairs = [(b"X-Request-ID", id)]
-        pairs += [(b"Idempotency-Key", headers[b"idempotency-key"])] if b"idempotency-key" in headers else []
+        if b"idempotency-key" in headers:
+            pairs.append((b"Idempotency-Key", headers[b"idempotency-key"]))
         head = http.request(method, target, b"%s:%d" % (address[0].encode(), address[1]), pairs, len(body))
         if self.idle[address]:
             self.idle[address].pop().send(head, body)
         else:
-            self.loop.create_task(self.open(address, head, body))
-
-    async def open(self, address, head, body):
-        _, line = await self.loop.create_connection(lambda: Line(self, address), *address)
-        line.send(head, body)
-
-    def called_back(self, told):
-        if told["state"] == "done" and (client := self.owed.pop(told["id"], None)):
-            result = told.get("result", "").encode()
+            self.loop.create_task(self._connect_and_send(address, head, body))
+
+    async def _connect_and_send(self, address, head, body):
+        _, connection = await self.loop.create_connection(lambda: ExecutorConnection(self, address), *address)
+        connection.send(head, body)
+
+    def on_notice(self, notice):
+        """Answers the client whose job an executor's notice ends."""
+        if notice["state"] != "done":
+            return
+        client = self.clients.pop(notice["id"], None)
+        if client is not None:
+            result = notice.get("result", "").encode()
             client.send(http.answer(200, len(result), True), result)
 
 
-class Line(Connection):
+class ExecutorConnection(Connection):
+    """A connection to an executor; it is idle once its request is confirmed."""
+
     def __init__(self, relay, address):
         super().__init__(relay.touch, answers=True)
-        self.relay, self.address = relay, address
+        self.relay = relay
+        self.address = address
 
     def read(self):
+        """Takes the responses that have come."""
         while self.parser.next():
             self.relay.idle[self.address].append(self)
 
     def connection_lost(self, exc):
+        """Forgets the connection."""
         if self in self.relay.idle[self.address]:
             self.relay.idle[self.address].remove(self)
 
 
-class Client(Connection):
+class ClientConnection(Connection):
+    """A connection of a client or of an executor that sends notices."""
+
     def __init__(self, relay):
         super().__init__(relay.touch)
         self.relay = relay
 
     def read(self):
+        """Takes the requests that have come."""
         while message := self.parser.next():
             method, target, headers, body = message
             if target == b"/up":
                 self.send(http.answer(200, 0, True))
             elif target == b"/_jobs/news":
                 self.send(http.answer(204, 0, True))
-                self.relay.called_back(json.loads(body))
+                self.relay.on_notice(json.loads(body))
             else:
-                self.relay.hand_in(self, *message)
+                self.relay.forward(self, method, target, headers, body)
+
+
+def _address(text):
+    host, _, port = text.rpartition(":")
+    return host, int(port)
 
 
 async def main():
+    """Serves until it is stopped."""
     with open(os.environ["BALANCER_CONFIG"]) as file:
-        said = json.load(file)
-    places = [row["address"].rpartition(":") for row in said["known"]["endpoints"]]
+        configuration = json.load(file)
     loop = asyncio.get_running_loop()
-    relay = Relay(loop, [(host, int(port)) for host, _, port in places])
-    host, _, port = said["listen"].rpartition(":")
-    server = await loop.create_server(lambda: Client(relay), host, int(port))
+    relay = Relay(loop, [_address(row["address"]) for row in configuration["known"]["endpoints"]])
+    server = await loop.create_server(lambda: ClientConnection(relay), *_address(configuration["listen"]))
     await server.serve_forever()
 
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -4,11 +4,20 @@
 
 import numpy
 
+_ROUNDING = 1e-9
+
 
 class Slope(NamedTuple):
-    """`exponent`, `factor`: value = factor * size ** exponent, by least squares on logs; `floor`, `each`:
-    value = floor + each * size, by least squares of the error over the value; `left`, `line_left`: what each
-    leaves over, the root mean square of the error over the value; `largest`: the largest size that was run.
+    """How a quantity grows with a size, fitted as a power and as a straight line.
+
+    Attributes:
+        exponent: Of the power: value = factor * size ** exponent, by least squares on logarithms.
+        factor: Of the power.
+        left: What the power leaves over: the root mean square of the error over the value.
+        floor: Of the line: value = floor + each * size, by least squares of the error over the value.
+        each: Of the line.
+        line_left: What the line leaves over.
+        largest: The largest size that was run.
     """
 
     exponent: float
@@ -20,12 +29,12 @@
     largest: float
 
     def line(self):
-        """Whether the straight line goes before the power: leaves no more over, is nowhere negative."""
+        """Returns whether the line is preferred: it leaves no more over and is nowhere negative."""
         return self.line_left <= self.left and self.floor >= 0 and self.each >= 0
 
 
 def fit(sizes, values):
-    """The slope of values over sizes, all of them over 0; None where there are under two of these.
+    """Returns the `Slope` of values over sizes, all of them over 0; None for fewer than two sizes.
 
     >>> s = fit([10, 20, 50, 100], [70, 120, 270, 520])
     >>> round(s.floor), round(s.each, 3), round(s.line_left, 6), round(s.exponent, 2), round(s.left, 2)
@@ -42,22 +51,32 @@
     pairs = [(size, value) for size, value in zip(sizes, values, strict=True) if size > 0 and value > 0]
     if len({size for size, _ in pairs}) < 2:
         return None
-    x, y = (numpy.array(side, float) for side in zip(*pairs))
-    exponent, factor = numpy.polyfit(numpy.log(x), numpy.log(y), 1)
-    each, floor = numpy.polyfit(x, y, 1, w=1 / y)
-    power, line = numpy.exp(factor) * x**exponent, floor + each * x
-    left, line_left = (float(numpy.sqrt(numpy.mean((way / y - 1) ** 2))) for way in (power, line))
+    size_array, value_array = (numpy.array(side, float) for side in zip(*pairs, strict=True))
+    exponent, log_factor = numpy.polyfit(numpy.log(size_array), numpy.log(value_array), 1)
+    each, floor = numpy.polyfit(size_array, value_array, 1, w=1 / value_array)
+    power = numpy.exp(log_factor) * size_array**exponent
+    line = floor + each * size_array
     return Slope(
-        float(exponent), float(numpy.exp(factor)), left, float(floor), float(each), line_left, float(x.max())
+        exponent=float(exponent),
+        factor=float(numpy.exp(log_factor)),
+        left=_left_over(power, value_array),
+        floor=float(floor),
+        each=float(each),
+        line_left=_left_over(line, value_array),
+        largest=float(size_array.max()),
     )
 
 
+def _left_over(fitted, values):
+    return float(numpy.sqrt(numpy.mean((fitted / values - 1) ** 2)))
+
+
 def read_off(slope, size):
-    """(value, whether that lies beyond the largest size that was run), by the way that leaves less over.
+    """Returns (value, whether that lies beyond the largest size that was run), by the preferred fit.
 
     >>> s = fit([10, 20, 50, 100], [70, 120, 270, 520])
     >>> [(round(value), beyond) for value, beyond in (read_off(s, 100), read_off(s, 1000))]
     [(520, False), (5020, True)]
     """
     value = slope.floor + slope.each * size if slope.line() else slope.factor * size**slope.exponent
-    return float(value), bool(size > slope.largest * (1 + 1e-9))
+    return float(value), bool(size > slope.largest * (1 + _ROUNDING))
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -4,12 +4,14 @@
 
 Real processes, four zones, one executor of each out at a time. The same load twice: with no work going on,
 and through a plan over all executors. The ideal schedule has no moment between two turns: for each turn the
-work and the warming, nothing for agreement, open forwards, or the operators, who look ten times a second.
+work and the warming, nothing for agreement, open attempts, or the operators, who look ten times a second.
 """
 
 import asyncio
 import time
+from dataclasses import dataclass
 from statistics import median
+from typing import NamedTuple
 
 import click
 
@@ -18,8 +20,13 @@
 from grebedyke.load.clients import OpenLoopClients
 from grebedyke.rig.fleet import RAMP, Rig
 
-ZONES = "a", "b", "c", "d"
-LOOK = 0.1
+ZONES = ("a", "b", "c", "d")
+LOOK_INTERVAL = 0.1
+PLAN_TRIES = 20
+MEAN_WORK = 0.4
+LOAD_PER_IDEAL = 1.4
+"""The load goes on for so many times what the ideal schedule takes."""
+
 OPERATIONS = (
     Operation("hold", "keyed", share=0.4),
     Operation("confirm", "unsafe", share=0.3),
@@ -27,65 +34,137 @@
 )
 
 
-async def settled(rig):
-    while not all(
-        told and told["sure"] and not told["plan"]
-        for told in await asyncio.gather(*(rig.status(name) for name in rig.nodes))
-    ):
-        await asyncio.sleep(LOOK)
-
-
-async def operators(rig, work):
-    """Gives the plan, works at whatever is told free, and gives how long all of it took."""
-    machines = [*rig.executors]
-    plan = {"machines": machines, "most": len(ZONES), "mostZone": 1, "leastShare": 0.5, "workMs": 60_000}
-    start, busy, done, node = time.monotonic(), {}, False, next(iter(rig.nodes))
-    for _ in range(20):
-        status, text = await rig.call(node, "POST", "/v1/maintenance/plan", plan)
-        if status not in (0, 503):  # asking again is harmless
-            break
-    if status != 200:
-        raise click.ClickException(f"the plan: {status} {text}")
-
-    async def work_at(name, number):
-        await asyncio.sleep(work)
-        await rig.executors[name].restart()
-        await rig.discovery.change(name, status="Ready", since_ms=int(time.time() * 1000))
-        await rig.call(node, "POST", f"/v1/maintenance/back/{name}/{number}")
-
-    while not done:
-        await asyncio.sleep(LOOK)
-        if not (told := await rig.status(node)):
-            continue
-        for row in told["machines"]:
-            if row["state"] == "free" and (key := (row["name"], row["number"])) not in busy:
-                busy[key] = asyncio.ensure_future(work_at(*key))
-        done = not told["plan"]
-    await asyncio.gather(*busy.values())
-    return time.monotonic() - start
-
-
-async def one(seed, nodes, executors, work, rate, with_plan):
-    """(share succeeded, p99 of the waits in ms, seconds that the plan took or None, CPU of a core a node)."""
-    ideal = -(-executors // len(ZONES)) * (work + RAMP)
-    rig = Rig(OPERATIONS, nodes, executors, 3 if nodes < 7 else 5, seed, zones=ZONES)
+@dataclass(frozen=True, slots=True, kw_only=True)
+class UpkeepSettings:
+    """What is the same in all runs.
+
+    Attributes:
+        nodes: How many nodes.
+        executors: How many executors.
+        work: Seconds of work at each executor.
+        rate: Requests a second.
+    """
+
+    nodes: int
+    executors: int
+    work: float
+    rate: float
+
+    def ideal_time(self):
+        """Returns the seconds that the ideal schedule takes."""
+        return -(-self.executors // len(ZONES)) * (self.work + RAMP)
+
+
+class RunResult(NamedTuple):
+    """What a run came to.
+
+    Attributes:
+        succeeded: Share of requests that succeeded.
+        p99_ms: 99th percentile of the waits in milliseconds.
+        plan_seconds: How long the plan took; None where there was none.
+        cpu: CPU of a core that a node used.
+    """
+
+    succeeded: float
+    p99_ms: float
+    plan_seconds: float | None
+    cpu: float
+
+
+async def wait_until_certain(fleet):
+    """Waits until all nodes are certain that there is no plan."""
+    while True:
+        views = await asyncio.gather(*(fleet.status(name) for name in fleet.nodes))
+        if all(view and view["sure"] and not view["plan"] for view in views):
+            return
+        await asyncio.sleep(LOOK_INTERVAL)
+
+
+class Operators:
+    """Give a plan over all executors, and work at each that is out.
+
+    Attributes:
+        fleet: The fleet of the test bed.
+        node: The node that they ask.
+        work: Seconds of work at each executor.
+        tasks: Their work by (executor, number).
+    """
+
+    def __init__(self, fleet, work):
+        self.fleet = fleet
+        self.node = next(iter(fleet.nodes))
+        self.work = work
+        self.tasks = {}
+
+    async def carry_out_plan(self):
+        """Returns the seconds from giving the plan until all of it is done."""
+        start = time.monotonic()
+        await self._give_plan()
+        has_plan = True
+        while has_plan:
+            await asyncio.sleep(LOOK_INTERVAL)
+            view = await self.fleet.status(self.node)
+            if not view:
+                continue
+            for machine in view["machines"]:
+                key = (machine["name"], machine["number"])
+                if machine["state"] == "free" and key not in self.tasks:
+                    self.tasks[key] = asyncio.ensure_future(self._work_at(*key))
+            has_plan = bool(view["plan"])
+        await asyncio.gather(*self.tasks.values())
+        return time.monotonic() - start
+
+    async def _give_plan(self):
+        plan = {
+            "machines": [*self.fleet.executors],
+            "most": len(ZONES),
+            "mostZone": 1,
+            "leastShare": 0.5,
+            "workMs": 60_000,
+        }
+        for _ in range(PLAN_TRIES):
+            status, text = await self.fleet.call(self.node, "POST", "/v1/maintenance/plan", plan)
+            if status not in (0, 503):  # Asking again is harmless.
+                break
+        if status != 200:
+            raise click.ClickException(f"the plan: {status} {text}")
+
+    async def _work_at(self, name, number):
+        await asyncio.sleep(self.work)
+        await self.fleet.executors[name].restart()
+        await self.fleet.discovery.change(name, status="Ready", since_ms=int(time.time() * 1000))
+        await self.fleet.call(self.node, "POST", f"/v1/maintenance/back/{name}/{number}")
+
+
+async def play(seed, settings, with_plan):
+    """Plays the load once and returns the `RunResult`."""
+    voters = 3 if settings.nodes < 7 else 5
+    fleet = Rig(OPERATIONS, settings.nodes, settings.executors, voters, seed, zones=ZONES)
+    seconds = settings.ideal_time() * LOAD_PER_IDEAL
     try:
-        await rig.start()
-        await settled(rig)
-        clients = OpenLoopClients(rig.nodes, seed=seed)
-        shape = LoadShape(operations=OPERATIONS, rate=rate, seconds=ideal * 1.4, mean_work=0.4)
-        before = [cpu(process.pid) for process in rig.processes.values()]
-        load = asyncio.ensure_future(clients.play(draw_arrivals(seed, shape)))
-        took = await operators(rig, work) if with_plan else None
+        await fleet.start()
+        await wait_until_certain(fleet)
+        clients = OpenLoopClients(fleet.nodes, seed=seed)
+        shape = LoadShape(operations=OPERATIONS, rate=settings.rate, seconds=seconds, mean_work=MEAN_WORK)
+        arrivals = draw_arrivals(seed, shape)
+        cpu_before = _cpu_of(fleet)
+        load = asyncio.ensure_future(clients.play(arrivals))
+        plan_seconds = await Operators(fleet, settings.work).carry_out_plan() if with_plan else None
         await load
-        used = sum(cpu(p.pid) - b for p, b in zip(rig.processes.values(), before)) / nodes / (ideal * 1.4)
+        used = (_cpu_of(fleet) - cpu_before) / settings.nodes / seconds
         counts = clients.ledger.counts()
-        rig.report_to(clients.ledger)
-        if broken := clients.ledger.violations():
-            raise click.ClickException(f"a rule is broken: {broken[0]}")
-        return counts["succeeded"] / counts["taken"], clients.wait_percentiles()["p99"], took, used
+        fleet.report_to(clients.ledger)
+        violations = clients.ledger.violations()
+        if violations:
+            raise click.ClickException(f"a rule is broken: {violations[0]}")
+        p99_ms = clients.wait_percentiles()["p99"]
+        return RunResult(counts["succeeded"] / counts["taken"], p99_ms, plan_seconds, used)
     finally:
-        await rig.close()
+        await fleet.close()
+
+
+def _cpu_of(fleet):
+    return sum(cpu(process.pid) for process in fleet.processes.values())
 
 
 @click.command()
@@ -95,19 +174,26 @@
 @click.option("--rate", default=90.0, show_default=True, help="Invocations a second, of 0.4 s each.")
 @click.option("--rounds", default=3, show_default=True)
 @click.option("--seed", "first", default=1, show_default=True)
-def main(nodes, executors, work, rate, rounds, first):
-    ideal, rows = -(-executors // len(ZONES)) * (work + RAMP), []
+def main(rounds, first, **options):
+    """Prints a line for each round, and the medians."""
+    settings = UpkeepSettings(**options)
+    ideal = settings.ideal_time()
+    pairs = []
     for seed in range(first, first + rounds):
-        rows.append([asyncio.run(one(seed, nodes, executors, work, rate, plan)) for plan in (False, True)])
-        calm, busy = rows[-1]
+        calm, busy = (asyncio.run(play(seed, settings, with_plan)) for with_plan in (False, True))
+        pairs.append((calm, busy))
         click.echo(
-            f"seed {seed}: succeeded {calm[0]:.4f} with no work, {busy[0]:.4f} through the plan; "
-            f"p99 {calm[1]:.0f} and {busy[1]:.0f} ms; plan {busy[2]:.1f} s, ideal {ideal:.1f} s; "
-            f"CPU of a core {calm[3]:.3f} and {busy[3]:.3f}"
+            f"seed {seed}: succeeded {calm.succeeded:.4f} with no work, "
+            f"{busy.succeeded:.4f} through the plan; "
+            f"p99 {calm.p99_ms:.0f} and {busy.p99_ms:.0f} ms; "
+            f"plan {busy.plan_seconds:.1f} s, ideal {ideal:.1f} s; "
+            f"CPU of a core {calm.cpu:.3f} and {busy.cpu:.3f}"
         )
+    service = median(busy.succeeded / calm.succeeded for calm, busy in pairs)
+    plan_time = median(busy.plan_seconds for _, busy in pairs) / ideal
     click.echo(
-        f"service {median(b[0] / c[0] for c, b in rows):.4f} of the same load with no work, "
-        f"time {median(b[2] for _, b in rows) / ideal:.2f} of the ideal (medians of {rounds})"
+        f"service {service:.4f} of the same load with no work, "
+        f"time {plan_time:.2f} of the ideal (medians of {rounds})"
     )
 
 
--- a/grebedyke/__main__.py
+++ b/grebedyke/__main__.py
@@ -1,13 +1,14 @@
-"""One node in the foreground: python -m grebedyke. It is told all by its environment, see README.md.
+"""Runs one node in the foreground, python -m grebedyke; its environment names its configuration (README.md).
 
-With a command's name behind it, that command (grebedyke/commands); a plain node imports nothing of those.
+With the name of a command it runs that command (grebedyke/commands); a node imports nothing of those.
 """
 
 import signal
 import sys
 
 if len(sys.argv) < 2 or sys.argv[1].startswith("-"):
-    # Before the imports, which take tenths of a second: a reload told in them would end the node.
+    # Before the imports, which take tenths of a second: a SIGHUP that asks for a reload within that time
+    # would end the node.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import argparse  # noqa: E402
