--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks import fleet, processes, roles, slopes
+from benchmarks import fleet, fleet_cases, fleet_tables, processes, roles, slopes
 from grebedyke.units import TICKS_PER_SECOND
 
 ROLES = {
@@ -37,7 +37,7 @@
 KINDS = "full", "wanted", "probes", "what", "fleet"
 
 
-@pytest.mark.parametrize("module", [slopes, fleet, roles], ids=lambda module: module.__name__)
+@pytest.mark.parametrize("module", [slopes, fleet_tables, roles], ids=lambda module: module.__name__)
 def test_examples_of_fit_and_reading_off(module):
     failed, tried = doctest.testmod(module)
     assert tried and not failed
@@ -46,30 +46,29 @@
 def test_quick_run_has_a_row_for_each_role():
     """Of the quick run's cases the smallest of each kind; the rest differ from these in size alone."""
     smallest = {}
-    for case in fleet.cases(True):
+    for case in fleet_cases.cases(True):
         call, against, size, shape = case
         kind = call, *(shape.get(key) for key in KINDS if against == "nodes" or key not in ("full", "wanted"))
-        if kind not in smallest or shape.get("nodes", size) < smallest[kind][3].get("nodes", size):
+        if kind not in smallest or shape.get("nodes", size) < smallest[kind].arguments.get("nodes", size):
             smallest[kind] = case
     shorter = {processes.process: {"span": 0.1}, roles.scene: {"span": 4 * TICKS_PER_SECOND}}
     found = [
-        (call, against, size, shape | shorter.get(call, {}))
-        for call, against, size, shape in smallest.values()
+        case._replace(arguments=case.arguments | shorter.get(case.call, {})) for case in smallest.values()
     ]
-    said = []
-    rows = fleet.run(found, 3, said.append)
-    assert not [line for line in said if line.startswith("failed")]
+    lines = []
+    rows = fleet.run(found, 3, lines.append)
+    assert not [line for line in lines if line.startswith("failed")]
     assert {row["role"] for row in rows} == ROLES
     assert all(value >= 0 for row in rows for name, value in row["quantities"].items() if "CPU" not in name)
     assert all(row["quantities"]["undelivered"] == 0 for row in rows if row["role"] == "driver of a plan")
-    text = "\n".join(fleet.page(rows, 1.0, "here"))
+    text = "\n".join(fleet_tables.page(rows, 1.0, "here"))
     assert all(f"| {role} |" in text for role in ROLES)
 
 
 def test_a_voters_words_grow_by_each_nodes_asks():
     """Four asks a lease of 2 s, each answered by each voter."""
-    told = [row for nodes in (8, 16, 40) for row in roles.idle("nodes", nodes, nodes, 4 * TICKS_PER_SECOND)]
-    grown = fleet.slopes(told)
+    rows = [row for nodes in (8, 16, 40) for row in roles.idle("nodes", nodes, nodes, 4 * TICKS_PER_SECOND)]
+    grown = fleet_tables.slopes(rows)
     for way in "out", "in":
         slope = grown["voter", "nodes"]["messages " + way][2]
         assert abs(slope.each - 2) < 0.1 and slope.line_left < 0.03
@@ -79,19 +78,19 @@
 
 
 def test_holder_hears_and_answers_three_asks_a_lease():
-    told = [
+    rows = [
         row
         for nodes in (8, 16)
         for row in roles.limited("nodes", nodes, nodes, 4 * TICKS_PER_SECOND, wanted=2)
     ]
-    grown = fleet.slopes(told)["holder of limits", "nodes"]
+    grown = fleet_tables.slopes(rows)["holder of limits", "nodes"]
     few, many = grown["messages in"][1]
     assert abs((many - few) / 8 - 1.5) < 0.1
 
 
 def test_books_grow_by_forwards_under_way():
     more = {"executors": 100, "invocations": 5}
-    told = [row for n in (10, 100) for row in roles.placed("forwards", n, forwards=n, **more)]
-    grown = fleet.slopes(told)["an executor's place in the books", "forwards"]
+    rows = [row for n in (10, 100) for row in roles.placed("forwards", n, forwards=n, **more)]
+    grown = fleet_tables.slopes(rows)["an executor's place in the books", "forwards"]
     assert grown["forwards"][1] == [10, 100]
     assert 500 < grown["state for forwards"][2].each < 3_000
