--- a/grebedyke/benchlink/__main__.py
+++ b/grebedyke/benchlink/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the adapter on standard input and output."""
+
 import sys
 
 from grebedyke.benchlink.adapter import serve
--- a/grebedyke/policy/dispatcher.py
+++ b/grebedyke/policy/dispatcher.py
@@ -107,9 +107,12 @@
             cutoffs = context.cutoffs
             context.endpoints.assign_tiers(cutoffs.top_tier_share if cutoffs.in_force else 0.0)
             yield Note(cutoffs.summary)
-        yield from self.cutting.due(now)
-        for attempt in self.lending.expired(now):
-            self.tracking.ended(now, AttemptEnded(attempt.request.id, attempt.index, Outcome.TIMEOUT, True))
+        if self.cutting.planned:
+            yield from self.cutting.due(now)
+        if self.lending.leases:
+            for attempt in self.lending.expired(now):
+                event = AttemptEnded(attempt.request.id, attempt.index, Outcome.TIMEOUT, True)
+                self.tracking.ended(now, event)
         # With coordinators many more requests wait: starts and progress, which let none of them go, must not
         # cost a look at all of them.
         changed = context.changes != self._placed_changes or self.queue.wake_at <= now
--- a/grebedyke/policy/placement.py
+++ b/grebedyke/policy/placement.py
@@ -27,11 +27,14 @@
     def place(self, now):
         """Yields the actions for all waiting requests."""
         rules = self._rules
+        waiting = rules.queue.in_order()
+        if not waiting:
+            return
         by_reports = rules.probing.is_sparse(now)
         ready_by_group = {}
-        for request in rules.queue.in_order():
-            retry = bool(request.attempts)
-            if now >= request.latest_start or retry and not rules.eligibility.may_still_come(request, now):
+        for request in waiting:
+            is_over = now >= request.latest_start
+            if is_over or request.attempts and not rules.eligibility.may_still_come(request, now):
                 yield from self._give_up(request)
                 continue
             if rules.lending.is_slot_wanted(request, now):
--- a/grebedyke/policy/request_queue.py
+++ b/grebedyke/policy/request_queue.py
@@ -3,8 +3,6 @@
 Within quota first, then the newest: under overload the oldest first would make every answer late.
 """
 
-from math import inf
-
 from grebedyke.units import TICKS_PER_SECOND
 
 SOON_INTERVALS = 4
@@ -60,8 +58,7 @@
             now: The time in ticks.
             others: Times at which other rules have to act; inf where one has not.
         """
-        context = self._context
-        interval = context.settings.scheduling_interval
+        interval = self._context.settings.scheduling_interval
         wake = min(now + TICKS_PER_SECOND, *others, *self._times(now, interval))
         if self.wake_at <= now or wake < self.wake_at - interval:
             self.wake_at = wake
@@ -69,22 +66,15 @@
         return None
 
     def _times(self, now, interval):
+        """When each waiting request has to be looked at again."""
         if not self._context.uses_coordinators:
-            return (
-                [now + SOON_INTERVALS * interval]
-                if any(request.queued for request in self.waiting)
-                else [inf]
-            )
+            return [now + SOON_INTERVALS * interval for request in self.waiting if request.queued]
         # Each wake costs CPU: what waits for an answer wakes at its own time, what this node places is
         # woken by the end of an attempt.
-        return [
-            max(
-                min(
-                    request.latest_start,
-                    now + COORDINATED_WAIT if request.placement_group else request.next_search_at,
-                ),
-                now + interval,
-            )
-            for request in self.waiting
-            if request.queued
-        ]
+        soonest = now + interval
+        times = []
+        for request in self.waiting:
+            if request.queued:
+                search_at = now + COORDINATED_WAIT if request.placement_group else request.next_search_at
+                times.append(max(min(request.latest_start, search_at), soonest))
+        return times
