--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -9,8 +9,8 @@
 import os
 import sys
 
-from grebedyke.wire import http
 from grebedyke.wire.connection import Connection
+from grebedyke.wire.http_messages import request_head, response_head
 
 
 class Relay:
@@ -28,7 +28,7 @@
         self.turn += 1
         pairs = [(b"X-Request-ID", id)]
         pairs += [(b"Idempotency-Key", headers[b"idempotency-key"])] if b"idempotency-key" in headers else []
-        head = http.request(method, target, b"%s:%d" % (address[0].encode(), address[1]), pairs, len(body))
+        head = request_head(method, target, b"%s:%d" % (address[0].encode(), address[1]), pairs, len(body))
         if self.idle[address]:
             self.idle[address].pop().send(head, body)
         else:
@@ -41,16 +41,16 @@
     def called_back(self, told):
         if told["state"] == "done" and (client := self.owed.pop(told["id"], None)):
             result = told.get("result", "").encode()
-            client.send(http.answer(200, len(result), True), result)
+            client.send(response_head(200, len(result), True), result)
 
 
 class Line(Connection):
     def __init__(self, relay, address):
-        super().__init__(relay.touch, answers=True)
+        super().__init__(relay.touch, reads_responses=True)
         self.relay, self.address = relay, address
 
-    def read(self):
-        while self.parser.next():
+    def process_input(self):
+        while self.parser.next_message():
             self.relay.idle[self.address].append(self)
 
     def connection_lost(self, exc):
@@ -63,13 +63,13 @@
         super().__init__(relay.touch)
         self.relay = relay
 
-    def read(self):
-        while message := self.parser.next():
+    def process_input(self):
+        while message := self.parser.next_message():
             method, target, headers, body = message
             if target == b"/up":
-                self.send(http.answer(200, 0, True))
+                self.send(response_head(200, 0, True))
             elif target == b"/_jobs/news":
-                self.send(http.answer(204, 0, True))
+                self.send(response_head(204, 0, True))
                 self.relay.called_back(json.loads(body))
             else:
                 self.relay.hand_in(self, *message)
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -33,9 +33,9 @@
 from grebedyke.service.turn import Turn
 from grebedyke.standin.discovery import Discovery
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire import http
-from grebedyke.wire.discovery import entries
-from grebedyke.wire.peers import Peers
+from grebedyke.wire.endpoint_rows import parse_endpoint_rows
+from grebedyke.wire.http_messages import request_head
+from grebedyke.wire.peer_socket import PeerSocket
 
 # As the program has them without further word: fleet.waitMs, maintenance.leaseMs, shares.leaseMs.
 WAIT, LEASE = TICKS_PER_SECOND // 5, 2 * TICKS_PER_SECOND
@@ -435,7 +435,7 @@
             0.0,
         )
         self.operations, self.tenants, self.run, self.out = operations, tenants, {}, 0
-        self.rows = [row[:1] + row[2:] for row in entries(orjson.loads(listing(executors)))]
+        self.rows = [row[:1] + row[2:] for row in parse_endpoint_rows(orjson.loads(listing(executors)))]
         self.tell(self.d.listed, True, self.rows)
 
     def tell(self, call, *args):
@@ -554,12 +554,12 @@
     text, took, books = listing(size), [], Books(size)
     for _ in range(5):
         start = thread_time()
-        rows = entries(orjson.loads(text))
+        rows = parse_endpoint_rows(orjson.loads(text))
         parsed = thread_time() - start
         books.took = 0.0
         books.tell(books.d.listed, True, [r[:1] + r[2:] for r in rows])
         took.append(parsed + books.took)
-    call = http.request(b"GET", b"/discovery/hosts?after=12345&wait_ms=2000", b"10.0.0.1:9000")
+    call = request_head(b"GET", b"/discovery/hosts?after=12345&wait_ms=2000", b"10.0.0.1:9000")
     return [
         row(
             "discovery, for each node",
@@ -597,10 +597,10 @@
             with socket.socket(type=socket.SOCK_DGRAM) as s:
                 s.bind(("127.0.0.1", 0))
                 addresses.append(s.getsockname())
-        both, wanted = [Peers(loop, turn, take, 1_200) for _ in range(2)], [0]
+        both, wanted = [PeerSocket(loop, turn, take, 1_200) for _ in range(2)], [0]
         for i, peers in enumerate(both):
-            peers.move(addresses, i)
-        await asyncio.gather(*(peers.task for peers in both))
+            peers.set_peers(addresses, i)
+        await asyncio.gather(*(peers.open_task for peers in both))
         start = thread_time()
         for _ in range(count // 10):
             # Ten in a turn: a voter of hundreds of nodes finds some whenever it looks.
--- a/grebedyke/errors.py
+++ b/grebedyke/errors.py
@@ -40,3 +40,16 @@
 
 class MalformedMessageError(GrebedykeError):
     """An HTTP message that a stand-in received cannot be parsed."""
+
+
+class HttpProtocolError(GrebedykeError):
+    """What a peer has sent is not an HTTP/1.1 message that this node accepts; the message says what is wrong.
+
+    Attributes:
+        status: Status code of the response that the peer gets before its connection ends.
+    """
+
+    def __init__(self, status, problem):
+        """Keeps the `status` to answer with; `problem` is one line for the peer and the log."""
+        super().__init__(problem)
+        self.status = status
--- a/grebedyke/model/in_flight.py
+++ b/grebedyke/model/in_flight.py
@@ -25,8 +25,8 @@
         # By name: an executor that left the list and came back is another endpoint, with the same call-backs.
         self.again = any(f.endpoint.name == endpoint.name and not f.untold for f in owed.flights)
         owed.flights.append(self)
-        owed.open, endpoint.flights = owed.open + 1, endpoint.flights + 1
+        owed.open, endpoint.open_attempts = owed.open + 1, endpoint.open_attempts + 1
 
     def end(self):
         self.done = True
-        self.owed.open, self.endpoint.flights = self.owed.open - 1, self.endpoint.flights - 1
+        self.owed.open, self.endpoint.open_attempts = self.owed.open - 1, self.endpoint.open_attempts - 1
--- a/grebedyke/rig/hollow.py
+++ b/grebedyke/rig/hollow.py
@@ -26,7 +26,7 @@
 from grebedyke.service.log import Gauges
 from grebedyke.service.parts import Parts
 from grebedyke.service.turn import Turn
-from grebedyke.wire.peers import Peers
+from grebedyke.wire.peer_socket import PeerSocket
 
 
 class Hollow:
@@ -68,7 +68,7 @@
         turn.marks = place.marks
         self.lives, self.turn, self.demand.turn = self.lives + 1, turn, turn
         process = int.from_bytes(os.urandom(7), "little") + 1
-        peers = self.peers = Peers(place.loop, turn, None, framing.LARGEST)
+        peers = self.peers = PeerSocket(place.loop, turn, None, framing.LARGEST)
         parts = self.parts = Parts(
             place.loop,
             turn,
@@ -84,10 +84,10 @@
         )
         self.disk = parts.disk
         self.tap.attach(parts, peers, place.loop)
-        peers.heard = parts.heard
+        peers.on_message = parts.heard
         turn.decide, turn.last_look = parts.decide, parts.last_look
         turn.carry = lambda now, decision: parts.do(now, *decision)
-        peers.move(self.said["peers"], self.me)
+        peers.set_peers(self.said["peers"], self.me)
         turn.put(parts.listed, True, place.rows)
         parts.start(False)
         self.alive = True
@@ -99,7 +99,7 @@
         if self.alive:
             self.alive = False
             self.demand.stop()
-            self.peers.move([], 0)
+            self.peers.set_peers([], 0)
             self.parts.begun = False
             self.turn.limits.clear()
             self.parts.close()
--- a/grebedyke/service/assembly.py
+++ b/grebedyke/service/assembly.py
@@ -12,14 +12,16 @@
 from grebedyke.service.switch import switch
 from grebedyke.service.turn import Turn
 from grebedyke.units import TICKS_PER_SECOND, ticks
-from grebedyke.wire.clients import Door
-from grebedyke.wire.discovery import Watch
-from grebedyke.wire.executors import Pool
-from grebedyke.wire.peers import Peers
+from grebedyke.wire.client_listener import ClientListener, ListenerSettings
+from grebedyke.wire.connection_table import ConnectionLimits
+from grebedyke.wire.discovery_client import DiscoveryClient, DiscoverySettings
+from grebedyke.wire.executor_pool import ExecutorPool, PoolSettings
+from grebedyke.wire.peer_socket import PeerSocket
+from grebedyke.wire.request_headers import JobUpdate
 
 # Descriptors that no share may draw on: log and loop (6), listeners, datagrams, the watch (2), handover, a
-# file, and what the door takes beyond its share (clients.SPARE). With shares of the whole, idle clients left
-# a node of 128 and fewer none to hear discovery with.
+# file, and what the listener takes beyond its share (connection_table.SPARE_CONNECTIONS). With shares of the
+# whole, idle clients left a node of 128 and fewer none to hear discovery with.
 KEPT = 22
 
 
@@ -29,7 +31,7 @@
     connect = ticks(limits["connectTimeoutMs"])
     # A line is dropped at half the time at which an executor closes it: a message that crosses the
     # closing ends as a reset, which may have run.
-    pool = ticks(limits["connIdleMs"]) // 2, connect
+    pool = PoolSettings(ticks(limits["connIdleMs"]) // 2, connect)
     desk = (
         int(limits["maxForwards"]),
         int(limits["maxOpen"]),
@@ -38,7 +40,7 @@
         4 * tick,
         tick,
     )
-    door = (
+    door = ListenerSettings(
         {row["name"]: ticks(row["clientTimeoutMs"]) for row in conf["operations"]},
         longest + TICKS_PER_SECOND,
     )
@@ -48,11 +50,15 @@
     # the drain grace of the settings, and soon enough that further such calls are over before 6 s.
     drain = max(ticks(conf["rules"]["drainGraceMs"]), TICKS_PER_SECOND // 5)
     again = min(TICKS_PER_SECOND // 4, drain // 4)
-    watch = min(TICKS_PER_SECOND // 2, drain // 2), again, again
+    # Short waits: what an agent has counts as told 2 s after the wait, and one that fell silent is asked anew
+    # before that.
+    wait = 2 * TICKS_PER_SECOND
+    watch = DiscoverySettings(wait, min(TICKS_PER_SECOND // 2, drain // 2), again, again)
     if conf["registryMode"] != "push":
         # Discovery itself, shared by all nodes: it answers in turn, within 2 s, and turns away what is more.
         # Asked as often as an agent, 32 nodes gave up calls that stood in its queue, and none was told.
-        watch = TICKS_PER_SECOND + TICKS_PER_SECOND // 2, TICKS_PER_SECOND // 4, TICKS_PER_SECOND * 3 // 4
+        grace = TICKS_PER_SECOND + TICKS_PER_SECOND // 2
+        watch = DiscoverySettings(wait, grace, TICKS_PER_SECOND // 4, TICKS_PER_SECOND * 3 // 4)
     return pool, desk, door, watch
 
 
@@ -87,7 +93,7 @@
     """
     conf, soft = paced(said["settings"]), resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     sockets = min(int(said["limits"]["sockets"]), soft if soft > 0 else 1 << 20)
-    for_pool, for_desk, (operations, patience), for_watch = parts_of(conf)
+    for_pool, for_desk, for_door, for_watch = parts_of(conf)
     dispatcher = open_dispatcher(said["seed"], conf)
     gauges = Gauges()
     turn = Turn(loop, gauges)
@@ -95,23 +101,26 @@
     # To executors a line is taken for a forward's 202 only, from clients one for each invocation that
     # waits; the rest is for newcomers that are told to come back later.
     room = sockets - KEPT
-    pool = Pool(loop, turn, *for_pool, max(room // 4, 1))
+    pool = ExecutorPool(loop, turn, for_pool, max(room // 4, 1))
     desk = Desk(dispatcher, turn, pool, gauges, *for_desk)
-    door = Door(turn, operations, desk.take, desk.news, desk.left, room * 5 // 8, room * 3 // 10, patience)
-    # Short waits: what an agent has counts as told 2 s after the wait, and one that fell silent is asked anew
-    # before that.
-    watch = desk.watch = Watch(
+    door = ClientListener(
+        turn,
+        for_door,
+        ConnectionLimits(max_connections=room * 5 // 8, max_requesters=room * 3 // 10),
+        on_request=desk.take,
+        on_job_update=desk.news,
+        on_client_left=desk.left,
+    )
+    watch = desk.watch = DiscoveryClient(
         loop,
         turn,
-        *said["discovery"],
+        tuple(said["discovery"]),
         said["known"].get("index"),
-        2 * TICKS_PER_SECOND,
-        *for_watch[:2],
-        desk.listed,
-        desk.unlisted,
-        for_watch[2],
+        for_watch,
+        on_list=desk.listed,
+        on_failure=desk.unlisted,
     )
-    peers = desk.peers = Peers(loop, turn, desk.heard)
+    peers = desk.peers = PeerSocket(loop, turn, desk.heard)
     turn.decide, turn.carry = dispatcher.decide, desk.do
     gauges.levels = partial(levels, turn, dispatcher)
 
@@ -122,34 +131,37 @@
 
         def in_force(now):
             switch(now, dispatcher, fresh)
-            pool.tune(*for_pool)
+            pool.apply_settings(for_pool)
             desk.tune(*for_desk)
-            door.tune(*for_door)
+            door.apply_settings(for_door)
             node.longest = longest_of(conf)
-            peers.move(said["peers"], int(conf["me"]))
-            watch.tune(*for_watch)
+            peers.set_peers(said["peers"], int(conf["me"]))
+            watch.apply_settings(for_watch)
 
         return in_force
 
     def books():
-        listing = {"address": watch.address, "index": watch.index}
+        listing = {"address": watch.address, "index": watch.version}
         return {"books": desk.books(), "listing": listing}, door.descriptor()
 
     def recall(message):
         turn.put(desk.recall, message["books"])
         listing = message["listing"]
         # Versions of another discovery would mean other lists.
-        watch.index = listing["index"] if tuple(listing["address"]) == watch.address else None
+        watch.version = listing["index"] if tuple(listing["address"]) == watch.address else None
 
     def heard_news(id, name, state, result, load):
-        turn.put(desk.news, id, name, state, result.encode(), load, False)
+        turn.put(desk.news, JobUpdate(id, name, state, result.encode(), load), False)
 
     def shared(with_another):
-        pool.share(with_another)
+        pool.share_connections(with_another)
         if not with_another:
-            peers.again()
+            peers.ensure_open()
             dispatcher.budget.alone(turn.clock())
 
+    def adopt(fd, good, caller):
+        loop.create_task(door.adopt(descriptor=fd, proven=good, is_executor=caller))
+
     handover = Handover(
         loop,
         said["folder"],
@@ -158,7 +170,7 @@
         {
             "books": recall,
             "news": heard_news,
-            "client": lambda **what: loop.create_task(door.adopt(**what)),
+            "client": adopt,
             "hand": lambda name, out: turn.put(desk.by_hand, name, out),
             "reload": lambda: node.reload(passed_on=True),
         },
--- a/grebedyke/service/console.py
+++ b/grebedyke/service/console.py
@@ -8,9 +8,10 @@
 
 from loguru import logger
 
+from grebedyke.errors import HttpProtocolError
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire import http
 from grebedyke.wire.connection import Connection
+from grebedyke.wire.http_messages import decode_text, response_head
 
 READY, EXECUTORS = b"/v1/readyz", b"/v1/executors/"
 BY_HAND = {b"suspend": True, b"resume": False}
@@ -22,7 +23,7 @@
     """One connection; it ends with the answer to its first call."""
 
     def __init__(self, console):
-        super().__init__(console.turn.touch, largest=console.largest)
+        super().__init__(console.turn.touch, max_body_bytes=console.largest)
         self.console, self.called = console, False
 
     def connection_made(self, transport):
@@ -35,13 +36,13 @@
     def eof_received(self):
         return self.called  # some end their side after the call, and still wait for what it says
 
-    def read(self):
+    def process_input(self):
         if self.called:
             return self.ring.skip(self.ring.used)
         try:
-            message = self.parser.next()
-        except http.Bad as problem:
-            self.called = self.lingers = True
+            message = self.parser.next_message()
+        except HttpProtocolError as problem:
+            self.called = self.half_closes = True
             self.ring.skip(self.ring.used)
             return self.answer(problem.status, str(problem))
         if message:
@@ -50,7 +51,7 @@
 
     def answer(self, status, text, headers=""):
         body = text.encode() + b"\n"
-        self.send(http.answer(status, len(body), False, headers), body, last=True)
+        self.send(response_head(status, len(body), False, headers), body, close=True)
 
 
 class Console:
@@ -89,7 +90,7 @@
         if method != allowed.encode():
             caller.answer(405, f"this call is a {allowed}", f"Allow: {allowed}\r\n")
         elif hand:
-            self.turn.put(self.rule, caller, http.text(unquote_to_bytes(name)), BY_HAND[word])
+            self.turn.put(self.rule, caller, decode_text(unquote_to_bytes(name)), BY_HAND[word])
         else:
             caller.answer(*(200, "ready") if self.ready() else (503, "not ready"))
 
--- a/grebedyke/service/desk.py
+++ b/grebedyke/service/desk.py
@@ -8,11 +8,20 @@
 from grebedyke.model.in_flight import Flight, Owed
 from grebedyke.service import log
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire import reports, words
-from grebedyke.wire.executors import BROKEN, UNSENT
+from grebedyke.wire import words
+from grebedyke.wire.endpoint_rows import HEALTHY
+from grebedyke.wire.executor_connection import CallResult
+from grebedyke.wire.executor_pool import EndpointAddress
+from grebedyke.wire.load_reports import report_from_json, report_from_text
+from grebedyke.wire.request_headers import JobState
 
 # What the state in a call-back means; one that is not here is news of a job under way.
-ENDS = {"done": model.OK, "failed": model.FAULT, "returned": model.FULL, "lost": model.RESET}
+ENDS = {
+    JobState.SUCCEEDED: model.OK,
+    JobState.FAILED: model.FAULT,
+    JobState.REJECTED: model.FULL,
+    JobState.LOST: model.RESET,
+}
 
 
 class Desk:
@@ -44,24 +53,34 @@
 
     # What comes in.
 
-    def take(self, client, id, operation, tenant, wait, hint, slots, line, body):
+    def take(self, client, incoming):
         """At once, not at the hand-over: the connection must not read its next message meanwhile."""
+        id = incoming.request_id
         if id in self.owed:
-            return client.reply(409, b"this X-Request-ID is under way")
+            return client.respond(409, b"this X-Request-ID is under way")
         now = self.turn.clock()
         # At a stop's end there is no time for a forward: trying elsewhere is harmless, an error final.
         if len(self.owed) >= self.most_open or self.latest and now + 2 * self.tick >= self.latest:
-            return client.reply(503)
-        due = now + max(wait - self.margin, 0)
+            return client.respond(503)
+        due = now + max(incoming.timeout - self.margin, 0)
         # The client timeout has run since the kernel had it, and a node may have stood still since; one that
         # stops has less time still. The module reckons with the client's own time from now: a shorter one
         # looks like a repeat whose slack is used up, and it would give all of them up.
         last = due - (unread := self.turn.unread(now))
         last = min(last, self.latest) if self.latest else last
-        owed = client.owed = self.owed[id] = Owed(id, client, line, body, last, now)
+        line = incoming.method, incoming.target, incoming.idempotency_key
+        owed = client.open_request = self.owed[id] = Owed(id, client, line, incoming.body, last, now)
         self.gauges.count("taken")
-        taken = self.taken, owed, operation, tenant, due, hint, slots
-        if unread or client.new:
+        taken = (
+            self.taken,
+            owed,
+            incoming.operation,
+            incoming.tenant,
+            due,
+            incoming.size_hint,
+            incoming.slots,
+        )
+        if unread or client.awaits_first_request:
             # It may have lain in the kernel, or not accepted yet, and its client's close right behind it.
             return self.turn.put_once_read(client, *taken)
         self.turn.put(*taken)
@@ -79,58 +98,71 @@
             self.dispatcher.left(now, owed.id)
             self.settle(now, owed)
 
-    def news(self, now, id, name, state, result, load=None, ours=True):
+    def news(self, now, update, ours=True):
         """The effect comes once: by invocation and executor, and never on a forward that has ended.
 
         `ours`: it came to this process; else another one of this node, on the same address, has passed it on.
         """
-        owed = self.owed.get(id.encode())
+        state = update.state
+        owed = self.owed.get(update.request_id.encode())
         if not owed and ours:
-            self.tell_other("news", id=id, name=name, state=state, result=result.decode(), load=load)
-        flight = owed and next((f for f in owed.flights if not f.done and f.endpoint.name == name), None)
+            self.tell_other(
+                "news",
+                id=update.request_id,
+                name=update.executor,
+                state=state,
+                result=update.result.decode(),
+                load=update.load,
+            )
+        flight = owed and next(
+            (f for f in owed.flights if not f.done and f.endpoint.name == update.executor), None
+        )
         if not flight:
             return
-        if state == "started":
+        if state == JobState.STARTED:
             if not flight.began:
                 flight.began = True
-                self.dispatcher.started(now, owed.id, flight.n, flight.call.opened)
+                self.dispatcher.started(now, owed.id, flight.n, flight.call.needed_connect)
         elif state not in ENDS:
             flight.began = True
             self.dispatcher.progressed(now, owed.id, flight.n)
-        elif flight.again and state != "done":
+        elif flight.again and state != JobState.SUCCEEDED:
             # It may be told of the earlier forward there: then this one is not known to be over.
             self.give_up(flight, model.RESET)
         else:
-            self.end(now, flight, ENDS[state], result, reports.free(load))
+            free = report_from_json(update.load).plausible_free_slots()
+            self.end(now, flight, ENDS[state], update.result, free)
 
-    def came(self, flight, how, status, headers, body):
+    def came(self, flight, end):
         if not flight.done:
             self.turn.put(
                 self.answered,
                 flight,
-                how,
-                status,
-                headers.get(b"x-not-processed") == b"1",
-                headers.get(b"x-server-load", b"").decode("latin-1"),
+                end.result,
+                end.status,
+                end.headers.get(b"x-not-processed") == b"1",
+                end.headers.get(b"x-server-load", b"").decode("latin-1"),
             )
 
     def answered(self, now, flight, how, status, unrun, load=""):
         if flight.done:
             return
         # An executor that never took it has no call-backs to make of it.
-        flight.untold = how == UNSENT or how != BROKEN and status != 202
-        if how == UNSENT:
+        flight.untold = how is CallResult.UNSENT or how is not CallResult.BROKEN and status != 202
+        if how is CallResult.UNSENT:
             self.end(now, flight, model.NO_CONNECTION)
-        elif how == BROKEN:
+        elif how is CallResult.BROKEN:
             self.end(now, flight, model.RESET)
         elif status == 202:
             flight.accepted = True
         else:
             outcome = model.FULL if unrun and status in (503, 504) else model.FAULT
-            self.end(now, flight, outcome, free=reports.free(reports.figures(load)))
+            self.end(now, flight, outcome, free=report_from_text(load).plausible_free_slots())
 
     def listed(self, now, whole, rows):
-        self.pool.listed(whole, [(row[0], row[1], row[5], row[6]) for row in rows])
+        self.pool.update_endpoints(
+            whole, [EndpointAddress(row.name, row.address, row.state, row.since_ms) for row in rows]
+        )
         self.dispatcher.listed(
             now,
             whole,
@@ -152,13 +184,16 @@
             "executors": decides.fleet.books(),
             "budget": decides.budget.books(),
             "places": [
-                (e.name, e.address, e.since) for e in self.pool.endpoints.values() if e.listed and e.address
+                (e.name, e.address, e.since_ms)
+                for e in self.pool.endpoints.values()
+                if e.is_listed and e.address
             ],
         }
 
     def recall(self, now, books):
-        self.pool.listed(
-            True, [(name, tuple(place), "healthy", since) for name, place, since in books["places"]]
+        self.pool.update_endpoints(
+            True,
+            [EndpointAddress(name, tuple(place), HEALTHY, since) for name, place, since in books["places"]],
         )
         self.dispatcher.fleet.recall(now, books["executors"])
         # A process of before this had no such books: what it has sent is unknown.
@@ -180,9 +215,11 @@
     def end(self, now, flight, outcome, result=b"", free=None):
         owed = flight.owed
         flight.end()
-        if flight.call and not flight.call.over:
+        if flight.call and not flight.call.ended:
             # A call-back may come before its 202; an answer that never ends would keep its line for good.
-            self.turn.at(max(now + 1, flight.call.since + self.probe_wait), lambda now: flight.call.drop())
+            self.turn.at(
+                max(now + 1, flight.call.started_at + self.probe_wait), lambda now: flight.call.abandon()
+            )
         if outcome != model.OK:
             self.gauges.count(log.ENDS[outcome])
         if outcome == model.OK and owed.client:
@@ -192,15 +229,15 @@
 
     def reply(self, now, owed, status, outcome, body=b"", headers=""):
         client, owed.client = owed.client, None
-        client.reply(status, body, headers)
-        client.answered()
+        client.respond(status, body, headers)
+        client.request_answered()
         self.gauges.count(outcome)
         self.gauges.wait(now - owed.came)
 
     def take_back(self, now, flight):
         """What has not left this machine, its connection still coming up or its bytes still here."""
-        if flight.call and not (flight.done or flight.call.over or flight.call.sent()):
-            flight.call.drop()
+        if flight.call and not (flight.done or flight.call.ended or flight.call.is_sent()):
+            flight.call.abandon()
             self.end(now, flight, model.MOOT)
 
     def settle(self, now, owed):
@@ -219,8 +256,8 @@
         end, as a second copy. An end that comes meanwhile counts.
         """
 
-        def heard(how=None, *_):
-            if how == UNSENT and flight.accepted and not flight.done:
+        def heard(end=None):
+            if end and end.result is CallResult.UNSENT and flight.accepted and not flight.done:
                 # It runs there, and nobody has given it up yet: for want of a line, or no connection.
                 self.turn.after(
                     self.probe_wait // 2, lambda now: flight.done or self.give_up(flight, outcome)
@@ -229,15 +266,15 @@
                 self.turn.put(self.given_up, flight, outcome)
 
         def silent(now):
-            if not call.over:
-                call.drop()
+            if not call.ended:
+                call.abandon()
                 heard()
 
-        if flight.accepted or flight.call.over:
+        if flight.accepted or flight.call.ended:
             call = flight.endpoint.call(b"DELETE", b"/jobs/" + flight.owed.id, (), b"", heard)
             self.turn.after(self.probe_wait, silent)
         else:
-            flight.call.drop()
+            flight.call.abandon()
             heard()
 
     def given_up(self, now, flight, outcome):
@@ -251,7 +288,7 @@
                 # A stop or a stall has cut its time: the module, which reckons with the client's own, would
                 # send it again at once, beside a forward that its executor does not know to be given up.
                 return self.overslept(now, flight.owed)
-            unsent = not (flight.accepted or flight.began or flight.call.over or flight.call.sent())
+            unsent = not (flight.accepted or flight.began or flight.call.ended or flight.call.is_sent())
             outcome = model.NO_CONNECTION if unsent else model.TIMEOUT
             self.give_up(flight, outcome)
             self.end(now, flight, outcome)  # now: there is no time for another, and an answer is due
@@ -260,11 +297,11 @@
         """Neither 202 nor news: a connection may fall silent without an end, and all the forward's time
         with it.
         """
-        if not (flight.done or flight.accepted or flight.began or flight.call.over):
-            outcome = model.RESET if flight.call.sent() else model.NO_CONNECTION
+        if not (flight.done or flight.accepted or flight.began or flight.call.ended):
+            outcome = model.RESET if flight.call.is_sent() else model.NO_CONNECTION
             # The 202 may be under way, or the line's end slower than the next forward: told by DELETE as
             # well.
-            flight.call.drop()
+            flight.call.abandon()
             self.give_up(flight, outcome)
 
     def overslept(self, now, owed):
@@ -286,7 +323,7 @@
         owed, endpoint = self.owed[id], self.pool.endpoint(name)
         flight = Flight(owed, endpoint)
         # Its close may have been read in this very pass: that it has left is told with the next turn.
-        gone = owed.client is None or owed.client.gone()
+        gone = owed.client is None or owed.client.is_closed()
         if gone or flight.n >= self.most_forwards or allowed <= 0:
             self.turn.put(self.unmade, flight)
             return
@@ -328,25 +365,25 @@
         def once(now, outcome, text=""):
             if not sent[0]:
                 sent[0] = True
-                self.dispatcher.probed(now, name, outcome, *reports.room(reports.figures(text)))
+                self.dispatcher.probed(now, name, outcome, *report_from_text(text))
 
-        def came(how, status, headers, body):
-            text = (body or headers.get(b"x-server-load", b"")).decode("latin-1")
+        def came(end):
+            text = (end.body or end.headers.get(b"x-server-load", b"")).decode("latin-1")
             outcome = (
                 model.NO_CONNECTION
-                if how == UNSENT
+                if end.result is CallResult.UNSENT
                 else model.RESET
-                if how == BROKEN
+                if end.result is CallResult.BROKEN
                 else model.OK
-                if status == 200
+                if end.status == 200
                 else model.FULL
-                if status == 503
+                if end.status == 503
                 else model.FAULT
             )
             self.turn.put(once, outcome, text)
 
         def silent(now):
-            call.drop()
+            call.abandon()
             once(now, model.TIMEOUT)
 
         self.gauges.count("probes")
@@ -360,7 +397,7 @@
         self.turn.at(at, lambda now: None)
 
     def follow(self, now):
-        self.watch.ask(now)
+        self.watch.poll(now)
 
     def note(self, now, text):
         logger.info("{text}", event="cutoffs", text=text)
--- a/grebedyke/service/fleet.py
+++ b/grebedyke/service/fleet.py
@@ -93,11 +93,13 @@
 def join(node, files=None):
     """Hangs the parts into a node that has been put together and has not begun."""
     desk, turn, peers, console = node.desk, node.turn, node.peers, node.console
-    decide, carry, words, by_hand = turn.decide, turn.carry, peers.heard, console.by_hand
+    decide, carry, words, by_hand = turn.decide, turn.carry, peers.on_message, console.by_hand
     process = int.from_bytes(os.urandom(7), "little") + 1
 
     def busy(names):
-        return [name for name in names if name in node.pool.endpoints and node.pool.endpoints[name].flights]
+        return [
+            name for name in names if name in node.pool.endpoints and node.pool.endpoints[name].open_attempts
+        ]
 
     parts = Parts(
         node.loop,
@@ -126,7 +128,7 @@
             parts.do(now, *decision)
 
     turn.decide, turn.carry, turn.last_look = next_decision, do, parts.last_look
-    peers.heard, peers.largest = heard, framing.LARGEST
+    peers.on_message, peers.max_datagram_bytes = heard, framing.LARGEST
     desk.also_listed = parts.listed
     console.by_hand, console.others, console.largest = parts.operator, parts.called, LARGEST_CALL
     limited(node, parts.parts)
--- a/grebedyke/service/node.py
+++ b/grebedyke/service/node.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire.discovery import entries
+from grebedyke.wire.endpoint_rows import parse_endpoint_rows
 
 
 class Phase(enum.Enum):
@@ -84,21 +84,21 @@
             self.loop.add_signal_handler(number, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         self.turn.put(self.desk.unlisted)
-        self.turn.put(self.desk.listed, True, entries(self.said["known"]))
+        self.turn.put(self.desk.listed, True, parse_endpoint_rows(self.said["known"]))
         # What a process knows that serves already goes before: the file's list may be old, and has no bans.
         listener = await self.handover.inherit()
         if self.also:
             self.also.start(self.handover.old is not None)
-        self.watch.ask()
+        self.watch.poll()
         if self.said["console"]:
             # Before all else that may take its time: "not ready" is an answer too.
             await self.console.listen(self.loop, *self.said["console"])
-        self.peers.move(self.said["peers"], int(self.said["settings"]["me"]))
+        self.peers.set_peers(self.said["peers"], int(self.said["settings"]["me"]))
         # What the agent has counts as told from the first moment on, whatever the file's list says.
         with suppress(TimeoutError):
-            await asyncio.wait_for(self.watch.first.wait(), FIRST)
-        if self.peers.task:
-            await self.peers.task
+            await asyncio.wait_for(self.watch.first_result.wait(), FIRST)
+        if self.peers.open_task:
+            await self.peers.open_task
             if not (self.peers.transport or self.handover.old):
                 raise OSError("the address of this node in peers is in use or not this machine's")
         if self.told_to_end:
@@ -202,18 +202,20 @@
         """
         if not self.handover.ready:
             return self.settle(now, last)
-        self.door.deafen()
-        self.door.heir = self.hand
-        for client in self.door.movable():
+        self.door.stop_accepting()
+        self.door.transfer = self.hand
+        for client in self.door.transferable():
             self.hand(client)
-        if now <= last and (self.door.clients or any(owed.client for owed in self.desk.owed.values())):
+        if now <= last and (
+            self.door.connections.accepted or any(owed.client for owed in self.desk.owed.values())
+        ):
             return self.turn.at(now + TICKS_PER_SECOND // 200, self.give_over, last)
         self.finish()
 
     def hand(self, client):
         if self.handover.ready:
             self.handover.hand(
-                client.transport.get_extra_info("socket"), good=client.good, caller=client.caller
+                client.transport.get_extra_info("socket"), good=client.proven, caller=client.is_executor
             )
             client.abort()  # this process's descriptor only; nothing is left to be written
 
@@ -226,8 +228,10 @@
             # The heir has died with the listener: what is owed here still waits for call-backs.
             self.loop.create_task(self.relisten())
         if now >= last - WIND:
-            self.door.wind_up()
-        if now <= last and (self.door.served() or any(owed.client for owed in self.desk.owed.values())):
+            self.door.close_idle()
+        if now <= last and (
+            self.door.connections.has_clients() or any(owed.client for owed in self.desk.owed.values())
+        ):
             return self.turn.at(now + TICKS_PER_SECOND // 50, self.settle, last)
         self.finish()
 
@@ -240,7 +244,7 @@
     def finish(self):
         # What still comes until the loop has ended is told to go elsewhere: it was taken, and dropped.
         self.desk.latest = self.turn.clock()
-        self.door.wind_up()
+        self.door.close_idle()
         self.watch.close()
         self.peers.close()
         self.gauges.report()
@@ -249,7 +253,7 @@
         self.loop.call_soon(self.loop.call_later, 0.02, self.leave)
 
     def leave(self):
-        self.door.shut()
+        self.door.close()
         self.console.close()
         self.handover.close()
         if self.also:
--- a/grebedyke/service/turn.py
+++ b/grebedyke/service/turn.py
@@ -63,7 +63,7 @@
         self.loop.call_soon(partial(self.reads_on, connection, None, FLOOD, call, args))
 
     def reads_on(self, connection, before, left, call, args):
-        come = connection.come()
+        come = connection.unhandled_bytes()
         if left and come != before:
             self.loop.call_soon(partial(self.reads_on, connection, come, left - 1, call, args))
         else:
--- /dev/null
+++ b/grebedyke/wire/http_parser.py
@@ -0,0 +1,299 @@
+"""HTTP/1.1 parser without I/O: takes messages out of a ring buffer, however their bytes were split."""
+
+from enum import Enum, IntEnum, auto
+
+from grebedyke.errors import HttpProtocolError
+from grebedyke.wire.http_messages import HttpRequest, HttpResponse
+
+TOKEN_BYTES = frozenset(b"!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz")
+HEX_DIGITS = b"0123456789abcdefABCDEF"
+FORBIDDEN_IN_VALUES = b"\0\r\n"
+VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
+# Headers that name the framing or the host: two of them could be read in two ways.
+UNIQUE_HEADERS = (b"content-length", b"transfer-encoding", b"host")
+DEFAULT_MAX_BODY_BYTES = 65_536
+MAX_CHUNK_LINE_BYTES = 1_024
+MAX_CHUNK_SIZE_DIGITS = 8
+MAX_LENGTH_DIGITS = 18
+MAX_TRAILER_LINES = 64
+
+
+class ParserState(IntEnum):
+    """What the parser reads next."""
+
+    HEAD = 0
+    SIZED_BODY = 1
+    BODY_UNTIL_CLOSE = 2
+    CHUNK_SIZE = 3
+    CHUNK_DATA = 4
+    TRAILER = 5
+
+
+class Progress(Enum):
+    """What became of one step of the parser."""
+
+    CONTINUE = auto()
+    NEED_DATA = auto()
+    MESSAGE_COMPLETE = auto()
+
+
+class HttpParser:
+    """Takes requests or responses out of a ring buffer, one at a time.
+
+    Attributes:
+        ring: The bytes received and not yet parsed.
+        reads_responses: Whether the peer sends responses; else it sends requests.
+        max_body_bytes: Largest body that is accepted.
+        unique_headers: Lower-case names of headers that may occur only once.
+        state: What is read next.
+        keep_alive: Whether the connection may carry another message after the last one.
+        expects_continue: Whether the peer waits for a 100 response before it sends the body.
+        headers: Headers of the message under way.
+        body: Bytes of its body so far, without framing.
+    """
+
+    __slots__ = (
+        "ring",
+        "reads_responses",
+        "max_body_bytes",
+        "unique_headers",
+        "state",
+        "keep_alive",
+        "expects_continue",
+        "headers",
+        "body",
+        "_method",
+        "_target",
+        "_status",
+        "_missing_bytes",
+        "_trailer_lines",
+    )
+
+    def __init__(self, ring, reads_responses=False, max_body_bytes=DEFAULT_MAX_BODY_BYTES, unique_headers=()):
+        self.ring = ring
+        self.reads_responses = reads_responses
+        self.max_body_bytes = max_body_bytes
+        self.unique_headers = frozenset((*UNIQUE_HEADERS, *unique_headers))
+        self.state = ParserState.HEAD
+        self.keep_alive = True
+        self.expects_continue = False
+        self.headers = {}
+        self.body = b""
+        self._method = b""
+        self._target = b""
+        self._status = 0
+        self._missing_bytes = 0
+        self._trailer_lines = 0
+
+    def has_partial_message(self):
+        """Returns whether a message has begun and is not complete."""
+        return self.ring.used > 0 or self.state is not ParserState.HEAD
+
+    def next_message(self):
+        """Returns the next `HttpRequest` or `HttpResponse`, None while it is not complete.
+
+        Raises:
+            HttpProtocolError: The peer's bytes are not an acceptable message.
+        """
+        progress = Progress.CONTINUE
+        while progress is Progress.CONTINUE:
+            progress = STEPS[self.state](self)
+        return self._take_message() if progress is Progress.MESSAGE_COMPLETE else None
+
+    def end_of_stream(self):
+        """Returns the response that the end of the connection completes, None if there is none.
+
+        Only a response without a length is complete by that; any other message is cut off.
+        """
+        return self._take_message() if self.state is ParserState.BODY_UNTIL_CLOSE else None
+
+    def _take_message(self):
+        body = bytes(self.body)
+        headers = self.headers
+        self.state = ParserState.HEAD
+        self.expects_continue = False
+        self.headers = {}
+        self.body = b""
+        if self.reads_responses:
+            return HttpResponse(self._status, headers, body)
+        return HttpRequest(self._method, self._target, headers, body)
+
+    # Head.
+
+    def _read_head(self):
+        data = self.ring.peek()
+        if data[:2] == b"\r\n":  # stray line ends between messages
+            self.ring.skip(2)
+            return Progress.CONTINUE
+        end = data.find(b"\r\n\r\n")
+        if end < 0:
+            if len(data) == self.ring.capacity:
+                raise HttpProtocolError(431, "the head does not fit")
+            return Progress.NEED_DATA
+        self.ring.skip(end + 4)
+        start_line, *header_lines = data[:end].split(b"\r\n")
+        version = (
+            self._parse_status_line(start_line)
+            if self.reads_responses
+            else self._parse_request_line(start_line)
+        )
+        for line in header_lines:
+            self._add_header(line)
+        options = [option.strip() for option in self.headers.get(b"connection", b"").lower().split(b",")]
+        self.keep_alive = b"close" not in options and (version == b"HTTP/1.1" or b"keep-alive" in options)
+        return self._choose_framing()
+
+    def _parse_request_line(self, line):
+        parts = line.split(b" ", 2)
+        version = parts[-1]
+        if len(parts) < 3 or version not in VERSIONS:
+            raise HttpProtocolError(505 if version.startswith(b"HTTP/") else 400, "malformed first line")
+        method, target, _ = parts
+        if not TOKEN_BYTES.issuperset(method) or not method or not target or b" " in target:
+            raise HttpProtocolError(400, "malformed first line")
+        self._method = method
+        self._target = target
+        return version
+
+    def _parse_status_line(self, line):
+        parts = line.split(b" ", 2)
+        version = parts[0]
+        if len(parts) < 2 or version not in VERSIONS:
+            raise HttpProtocolError(505 if version.startswith(b"HTTP/") else 400, "malformed first line")
+        status = parts[1]
+        if len(status) != 3 or not status.isdigit():
+            raise HttpProtocolError(400, "malformed status")
+        self._status = int(status)
+        return version
+
+    def _add_header(self, line):
+        name, colon, value = line.partition(b":")
+        if (
+            not colon
+            or not name
+            or not TOKEN_BYTES.issuperset(name)
+            or any(byte in value for byte in FORBIDDEN_IN_VALUES)
+        ):
+            raise HttpProtocolError(400, "malformed header line")
+        name = name.lower()
+        value = value.strip(b" \t")
+        if name in self.headers:
+            if name in self.unique_headers:
+                raise HttpProtocolError(400, f"header {name.decode()} is repeated")
+            value = self.headers[name] + b", " + value
+        self.headers[name] = value
+
+    def _choose_framing(self):
+        if self.reads_responses and 100 <= self._status < 200:
+            self.headers = {}  # an interim response; the final one follows
+            return Progress.CONTINUE
+        if self.reads_responses and self._status in (204, 304):
+            return Progress.MESSAGE_COMPLETE
+        length = self.headers.get(b"content-length")
+        coding = self.headers.get(b"transfer-encoding")
+        if coding is not None:
+            if length is not None or coding.lower() != b"chunked":
+                raise HttpProtocolError(400, "framing is not plain")
+            self.state = ParserState.CHUNK_SIZE
+        elif length is not None:
+            self._missing_bytes = self._body_length(length)
+            if not self._missing_bytes:
+                return Progress.MESSAGE_COMPLETE
+            self.state = ParserState.SIZED_BODY
+        elif self.reads_responses:
+            self.state = ParserState.BODY_UNTIL_CLOSE
+            self.keep_alive = False
+        else:
+            return Progress.MESSAGE_COMPLETE
+        self.body = bytearray()
+        expectation = self.headers.get(b"expect", b"").lower()
+        self.expects_continue = expectation == b"100-continue" and not self.ring.used
+        return Progress.CONTINUE
+
+    def _body_length(self, value):
+        if not value.isdigit() or len(value) > MAX_LENGTH_DIGITS:
+            raise HttpProtocolError(400, "malformed length")
+        length = int(value)
+        self._check_body_size(length)
+        return length
+
+    def _check_body_size(self, size):
+        if size > self.max_body_bytes:
+            raise HttpProtocolError(413, "the body is too large")
+
+    # Body.
+
+    def _read_sized_body(self):
+        self._move_to_body()
+        return Progress.NEED_DATA if self._missing_bytes else Progress.MESSAGE_COMPLETE
+
+    def _read_body_until_close(self):
+        self.body += self.ring.take(self.ring.used)
+        self._check_body_size(len(self.body))
+        return Progress.NEED_DATA
+
+    def _read_chunk_size(self):
+        line = self._read_line()
+        if line is None:
+            return Progress.NEED_DATA
+        digits = line.split(b";", 1)[0].strip(b" \t")
+        if (
+            not digits
+            or len(digits) > MAX_CHUNK_SIZE_DIGITS
+            or not all(digit in HEX_DIGITS for digit in digits)
+        ):
+            raise HttpProtocolError(400, "malformed chunk size")
+        self._missing_bytes = int(digits, 16)
+        self._check_body_size(len(self.body) + self._missing_bytes)
+        if self._missing_bytes:
+            self.state = ParserState.CHUNK_DATA
+        else:
+            self.state = ParserState.TRAILER
+            self._trailer_lines = 0
+        return Progress.CONTINUE
+
+    def _read_chunk_data(self):
+        if self._missing_bytes:
+            self._move_to_body()
+        if self._missing_bytes or self.ring.used < 2:
+            return Progress.NEED_DATA
+        if self.ring.take(2) != b"\r\n":
+            raise HttpProtocolError(400, "a chunk does not end where it should")
+        self.state = ParserState.CHUNK_SIZE
+        return Progress.CONTINUE
+
+    def _read_trailer(self):
+        line = self._read_line()
+        if line is None:
+            return Progress.NEED_DATA
+        self._trailer_lines += 1
+        if self._trailer_lines > MAX_TRAILER_LINES:
+            raise HttpProtocolError(431, "too many trailer lines")
+        return Progress.CONTINUE if line else Progress.MESSAGE_COMPLETE
+
+    def _move_to_body(self):
+        part = self.ring.take(self._missing_bytes)
+        self.body += part
+        self._missing_bytes -= len(part)
+
+    def _read_line(self):
+        """Returns the next line without its end, None while it is not complete."""
+        data = self.ring.peek()
+        end = data.find(b"\r\n")
+        if end < 0:
+            if len(data) >= MAX_CHUNK_LINE_BYTES:
+                raise HttpProtocolError(400, "overlong line in a chunked body")
+            return None
+        self.ring.skip(end + 2)
+        return data[:end]
+
+
+# The step that reads each state; the next state is set by the step.
+STEPS = {
+    ParserState.HEAD: HttpParser._read_head,
+    ParserState.SIZED_BODY: HttpParser._read_sized_body,
+    ParserState.BODY_UNTIL_CLOSE: HttpParser._read_body_until_close,
+    ParserState.CHUNK_SIZE: HttpParser._read_chunk_size,
+    ParserState.CHUNK_DATA: HttpParser._read_chunk_data,
+    ParserState.TRAILER: HttpParser._read_trailer,
+}
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -229,7 +229,9 @@
             self.node.door,
         )
         # A watch may wait for less than a deployment's would: what comes after it is the same.
-        self.node.watch.wait = self.watch_wait or self.node.watch.wait
+        watch = self.node.watch
+        wait = self.watch_wait or watch.settings.long_poll_wait
+        watch.settings = watch.settings._replace(long_poll_wait=wait)
         self.serving = asyncio.create_task(self.node.serve())
         if self.wait:
             await until(lambda: self.node.phase == node.Phase.SERVING or self.serving.done(), "serving")
@@ -262,7 +264,7 @@
     def left_over(self):
         """What a node holds of invocations that are over: entries, forwards, lines, slots, leases."""
         d, pool = self.desk.dispatcher, self.pool
-        busy = [line for line in pool.lines if line.call or line not in line.endpoint.idle]
+        busy = [line for line in pool.connections if line.call or line not in line.endpoint.idle]
         return {
             name: what
             for name, what in (
@@ -271,9 +273,9 @@
                 ("held", [i for i in d.held if i.held]),
                 ("leases", d.leases),
                 ("out", [e for e in d.fleet.all.values() if e.out or e.used]),
-                ("flights", [e for e in pool.endpoints.values() if e.flights]),
+                ("flights", [e for e in pool.endpoints.values() if e.open_attempts]),
                 ("busy lines", busy),
-                ("opening", pool.opening),
+                ("opening", pool.connecting),
             )
             if what
         }
@@ -286,14 +288,17 @@
         if self.node.phase == node.Phase.SERVING:
             self.node.stop()
         await asyncio.wait_for(self.serving, 20)
-        await until(lambda: not self.pool.lines and not self.door.clients or self.drop_idle(), "all closed")
+        await until(
+            lambda: not self.pool.connections and not self.door.connections.accepted or self.drop_idle(),
+            "all closed",
+        )
         # Entries of the heap that still hold a connection's rings would hold them for a client timeout.
         await until(lambda: sockets() <= self.before, "descriptors")
         if self.gate:
             del asyncio.get_running_loop().create_connection
 
     def drop_idle(self):
-        for line in list(self.pool.lines):
+        for line in list(self.pool.connections):
             line.close()
         return False
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -19,8 +19,11 @@
 from grebedyke.service.log import Gauges
 from grebedyke.service.turn import Turn
 from grebedyke.wire import words
-from grebedyke.wire.clients import Client, Door
-from grebedyke.wire.executors import Line, Pool
+from grebedyke.wire.client_connection import ClientConnection
+from grebedyke.wire.client_listener import ClientListener, ListenerSettings
+from grebedyke.wire.connection_table import ConnectionLimits
+from grebedyke.wire.executor_connection import ExecutorConnection
+from grebedyke.wire.executor_pool import EndpointAddress, ExecutorPool, PoolSettings
 
 HEALTHY = "healthy"
 
@@ -198,17 +201,26 @@
     """A node without sockets: its door, its desk and executors s-1, s-2 with a line each."""
     loop, told = Loop(), Told()
     turn = still(loop)
-    pool = Pool(loop, turn, 1_000_000, 2_500, lines)
-    pool.wary = 0  # the clock stands still: no line cools down
+    pool = ExecutorPool(loop, turn, PoolSettings(1_000_000, 2_500), lines)
+    pool.duplicate_window = 0  # the clock stands still: no line cools down
     desk = Desk(told, turn, pool, turn.gauges, 5, 100, b"/alive", 5_000, 200, 50)
-    door = Door(turn, {"op": 40_000}, desk.take, desk.news, desk.left, most, share, 60_000)
+    door = ClientListener(
+        turn,
+        ListenerSettings({"op": 40_000}, 60_000),
+        ConnectionLimits(most, share),
+        on_request=desk.take,
+        on_job_update=desk.news,
+        on_client_left=desk.left,
+    )
     turn.decide, turn.carry = told.decide, desk.do
-    pool.listed(True, [(name, ("127.0.0.9", 1), HEALTHY, 0) for name in ("s-1", "s-2")])
+    pool.update_endpoints(
+        True, [EndpointAddress(name, ("127.0.0.9", 1), HEALTHY, 0) for name in ("s-1", "s-2")]
+    )
     node = SimpleNamespace(loop=loop, told=told, turn=turn, pool=pool, desk=desk, door=door, lines=[])
     for endpoint in pool.endpoints.values():
-        node.lines.append(join(Line(endpoint)))
+        node.lines.append(join(ExecutorConnection(endpoint)))
         endpoint.rest(node.lines[-1])
-    node.client = lambda: join(Client(door))
+    node.client = lambda: join(ClientConnection(door))
     node.hand_in = lambda: (say(node.client(), HAND_IN), loop.go())[0]
     node.forward = lambda name="s-1", allowed=9_000: (
         desk.do(turn.clock(), ("forward", b"r1", name, allowed)),
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -43,7 +43,8 @@
 from grebedyke.service.handover import Channel
 from grebedyke.units import TICKS_PER_SECOND
 from grebedyke.wire import words
-from grebedyke.wire.discovery import entries
+from grebedyke.wire.endpoint_rows import parse_endpoint_rows
+from grebedyke.wire.request_headers import JobUpdate
 
 GOLDEN = Path(__file__).parent / "data" / "golden"
 
@@ -214,7 +215,7 @@
         self.loop, self.node = loop, assemble(loop, said, lambda: said, clock=lambda: self.NOW)
         self.node.turn.marks.extend([self.NOW] * 3)
         self.node.desk.shift = self.NOW - 50_000
-        self.node.desk.listed(self.NOW, True, entries(known))
+        self.node.desk.listed(self.NOW, True, parse_endpoint_rows(known))
         self.handover = self.node.handover
 
     async def listen(self, inherited=None):
@@ -241,33 +242,35 @@
         return sorted(self.node.desk.dispatcher.fleet.banned)
 
     def list_index(self):
-        return self.node.watch.index
+        return self.node.watch.version
 
     def clients(self):
-        return [[client.good, client.caller] for client in self.node.door.clients]
+        return [[one.proven, one.is_executor] for one in self.node.door.connections.accepted]
 
     def say_all(self):
         """Each kind of word to the other process."""
         self.node.console.by_hand(self.NOW, "s-1", True)
         self.node.console.by_hand(self.NOW, "s-2", False)
-        self.node.desk.news(self.NOW, "r7", "s-1", "done", b"42\xc3\xa9", {"x0": 2, "rif": 1.5})
-        self.node.desk.news(self.NOW, "r8", "s-1", "started", b"")
+        self.node.desk.news(self.NOW, JobUpdate("r7", "s-1", "done", b"42\xc3\xa9", {"x0": 2, "rif": 1.5}))
+        self.node.desk.news(self.NOW, JobUpdate("r8", "s-1", "started", b""))
         self.node.reload()
 
     def give_client(self, sock, good, caller):
         transport = SimpleNamespace(get_extra_info=lambda name: sock)
-        self.node.hand(SimpleNamespace(transport=transport, good=good, caller=caller, abort=lambda: None))
+        self.node.hand(
+            SimpleNamespace(transport=transport, proven=good, is_executor=caller, abort=lambda: None)
+        )
 
     def record_words(self):
         """What the other process says of call-backs and reloads, in place of what would follow."""
         heard = []
-        self.node.desk.news = lambda now, *what: heard.append(["news", *what])
+        self.node.desk.news = lambda now, update, *ours: heard.append(["news", *update, *ours])
         self.node.reload = lambda passed_on: heard.append(["reload", passed_on])
         return heard
 
     def close(self):
         self.handover.close()
-        self.node.door.shut()
+        self.node.door.close()
 
 
 def line(loop, sock, heard):
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -9,6 +9,7 @@
 from grebedyke.service import configuration
 from grebedyke.service.assembly import paced, parts_of
 from grebedyke.service.switch import switch
+from grebedyke.wire.client_listener import ListenerSettings
 
 
 @pytest.mark.parametrize(
@@ -26,7 +27,7 @@
 def test_an_operation_is_found_by_whatever_name_the_settings_give_it(name, path, header):
     # Names were read as Latin-1: every invocation of such an operation was answered 404.
     node = floor()
-    node.door.tune({name: 40_000}, 60_000)
+    node.door.apply_settings(ListenerSettings({name: 40_000}, 60_000))
     head = HAND_IN.replace(b"/op/", b"/" + path + b"/")
     if header:
         head = head.replace(b"X-Timeout", b"X-Priority-Class: " + header + b"\r\nX-Timeout")
@@ -48,7 +49,7 @@
 def test_clients_that_go_on_with_a_longer_time_are_taken_and_answered_by_the_shorter():
     # After a reload that shortened it they were answered 400, an error, until they had heard of it.
     node = floor()
-    node.door.tune({"op": 20_000}, 60_000)
+    node.door.apply_settings(ListenerSettings({"op": 20_000}, 60_000))
     for wait, taken in ((4000, True), (4001, False), (2000, True), (1500, True)):
         node.told.heard.clear()
         client = say(node.client(), HAND_IN.replace(b"r1", b"r%d" % wait).replace(b"4000", b"%d" % wait))
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -14,11 +14,11 @@
         async with Place(executor.row()) as place:
             client = Client(place.address).hand_in()
             await until(lambda: executor.seen, "the forward")
-            call = next(iter(place.endpoint().lines)).call
+            call = next(iter(place.endpoint().connections)).call
             place.desk.probe_wait = 300  # a 202 is no longer waited for once the forward is over
-            assert call and not call.over
+            assert call and not call.ended
             await place.ended(client)
-            await until(lambda: not place.endpoint().lines, "the line's end")
+            await until(lambda: not place.endpoint().connections, "the line's end")
         executor.server.close()
 
     asyncio.run(story())
@@ -43,7 +43,7 @@
             client = Client(place.address).hand_in()
             await until(lambda: executor.seen and agent.asked, "the forward")
             agent.say(2, executor.row(status="Gone"))
-            await until(lambda: not place.endpoint().listed, "the list")
+            await until(lambda: not place.endpoint().is_listed, "the list")
             executor.lines[0].close()
             await until(lambda: "s-1" not in place.pool.endpoints, "the sweep")
             executor.answers = lambda line, head: b"HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n"
@@ -70,14 +70,14 @@
             client, pool = Client(place.address).hand_in(), place.pool
             await until(lambda: executor.seen and place.desk.owed[b"r1"].flights[0].accepted, "the 202")
             executor.lines[0].close()
-            await until(lambda: not pool.lines, "no line")
-            flight, asked, room = place.desk.owed[b"r1"].flights[0], [], pool.room
-            pool.room = lambda: asked.append(1)
+            await until(lambda: not pool.connections, "no line")
+            flight, asked, room = place.desk.owed[b"r1"].flights[0], [], pool.ensure_capacity
+            pool.ensure_capacity = lambda: asked.append(1)
             place.desk.probe_wait = 300
             place.desk.do(place.turn.clock(), ("cancel", b"r1", 0))
             await until(lambda: len(asked) > 2, "three tries")
             assert not flight.done and not executor.deleted
-            pool.room = room
+            pool.ensure_capacity = room
             await until(lambda: flight.done, "that it is given up")
             assert executor.deleted == [b"r1"]
             await client.answer()
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -15,7 +15,7 @@
 from grebedyke.rate_limits import limiter
 from grebedyke.rate_limits.definitions import OPEN, Limit
 from grebedyke.wire import words
-from grebedyke.wire.executors import Line
+from grebedyke.wire.executor_connection import ExecutorConnection
 
 LATE, PAST = 0.1, 0.16
 ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
@@ -107,15 +107,15 @@
 
     async def __aenter__(self):
         await self.place.__aenter__()
-        flush, self.wrote = Line.flush, []
+        flush, self.wrote = ExecutorConnection.flush, []
 
         def noted(line):
-            if line.out.used and line.call and line.call.forwards:
+            if line.out.used and line.call and line.call.carries_request:
                 id = line.call.head.partition(b"X-Request-ID: ")[2].split()[0]
                 self.wrote.append((id, time.monotonic()))
             flush(line)
 
-        Line.flush, self.flush = noted, flush
+        ExecutorConnection.flush, self.flush = noted, flush
         self.dispatcher, self.owed = self.place.desk.dispatcher, self.place.desk.owed
         return self
 
@@ -124,7 +124,7 @@
         try:
             return await self.place.__aexit__(kind, *more)
         finally:
-            Line.flush = self.flush
+            ExecutorConnection.flush = self.flush
             self.recorder.server.close()
 
     def clients(self, number, first=1):
@@ -357,7 +357,7 @@
         async with Scene(number) as scene:
             await scene.another(b"z0")
             clients = scene.clients(number if kept else 0)
-            await until(lambda: len(scene.place.door.clients) >= len(clients), "the connections")
+            await until(lambda: len(scene.place.door.connections.accepted) >= len(clients), "the connections")
             clients = clients or scene.clients(number)
             scene.hand_in(clients)
             for client in clients.values():
@@ -425,7 +425,7 @@
                         others.append(Client(scene.place.address).hand_in("y%d" % (len(others) + 1)))
 
             desk.deeds["forward"] = slow
-            await until(lambda: len(scene.place.door.clients) >= number)
+            await until(lambda: len(scene.place.door.connections.accepted) >= number)
             scene.hand_in(clients)
             await until(lambda: not turns, "the turns")
             for i, other in enumerate(others, 1):
@@ -453,7 +453,7 @@
                 time.sleep(0.07)
 
         desk.deeds["forward"] = slow
-        await until(lambda: len(scene.place.door.clients) >= number)
+        await until(lambda: len(scene.place.door.connections.accepted) >= number)
         scene.no_stall()
         scene.hand_in(clients)
         scene.leave(clients)
@@ -531,14 +531,14 @@
                 type(one).__name__: one.transport.get_extra_info("socket").getsockopt(
                     socket.IPPROTO_TCP, socket.TCP_NODELAY
                 )
-                for one in (*place.door.clients, *place.pool.lines)
+                for one in (*place.door.connections.accepted, *place.pool.connections)
             }
             await place.ended(client, "r3")
         executor.server.close()
         return held
 
     held = asyncio.run(story())
-    assert set(held) == {"Client", "Line"} and all(held.values()), held
+    assert set(held) == {"ClientConnection", "ExecutorConnection"} and all(held.values()), held
 
 
 @pytest.mark.parametrize("ends", ("close", "shutdown"))
@@ -553,14 +553,14 @@
                 head = head[:-2] + b"Connection: close\r\n\r\n"
             client.socket.sendall(b"GET /up HTTP/1.1\r\n\r\n" + head + b"abc")
             await until(lambda: executor.seen, "the forward")
-            inside = next(one for one in place.door.clients if one.owed)
+            inside = next(one for one in place.door.connections.accepted if one.open_request)
             if ends == "shutdown":
                 client.socket.sendall(b"x" * 9_000)
-                await until(lambda: inside.spilt, "what stands behind")
+                await until(lambda: inside.overflowed, "what stands behind")
             flush, crossed = inside.flush, []
 
             def crossing():
-                if inside.last and not crossed:
+                if inside.closes_when_flushed and not crossed:
                     crossed.append(client.socket.sendall(Client.head("r2", 3) + b"abc"))
                 flush()
 
@@ -589,8 +589,8 @@
             assert b" 200 " in await client.answer()
             client.socket.setblocking(True)
             client.hand_in("r2")  # with the kernel, and not read
-            place.door.wind_up()
-            await until(lambda: not place.door.clients, "the close")
+            place.door.close_idle()
+            await until(lambda: not place.door.connections.accepted, "the close")
             client.leave()
         executor.server.close()
         return executor.seen
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -186,7 +186,11 @@
         await asyncio.gather(*clients)
         # Who had said nothing yet is not forgotten either.
         assert b" 200 " in await ask(address, b"GET /up HTTP/1.1\r\n\r\n", silent)
-        assert [e.id for e in new.desk.dispatcher.fleet.listed] and not old.desk.owed and not old.door.clients
+        assert (
+            [e.id for e in new.desk.dispatcher.fleet.listed]
+            and not old.desk.owed
+            and not old.door.connections.accepted
+        )
         new.stop()
         for worker in workers:
             worker.server.close()
@@ -213,7 +217,7 @@
             return configuration.read_node({"BALANCER_CONFIG": str(file)})
 
         def taken():
-            return [sorted(work.door.operations) for work in works]
+            return [sorted(work.door.timeouts.current) for work in works]
 
         async def start():
             works.append(assemble(loop, read(), read))
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -17,7 +17,7 @@
 async def one_before(place, executor):
     """So that an idle line is there, which carries at once."""
     await place.serves_another(executor, "r0")
-    await until(lambda: not place.door.clients, "its close")
+    await until(lambda: not place.door.connections.accepted, "its close")
 
 
 async def waits_for_its_line(place, client):
@@ -62,12 +62,12 @@
             place.gate.narrow = True
             place.gate.open.set()
             client = Client(place.address).hand_in(body=b"x" * 65_536)
-            await until(lambda: place.endpoint().lines, "a line")
-            line = next(iter(place.endpoint().lines))
-            await until(lambda: not line.whole, "a kernel that takes no more")
+            await until(lambda: place.endpoint().connections, "a line")
+            line = next(iter(place.endpoint().connections))
+            await until(lambda: not line.fully_written, "a kernel that takes no more")
             client.leave()
             await until(lambda: gone(place), "that the client has left")
-            await until(lambda: not place.endpoint().lines, "the line's end")
+            await until(lambda: not place.endpoint().connections, "the line's end")
             executor.reads.set()
         executor.server.close()
         assert not executor.seen
@@ -146,7 +146,7 @@
             await one_before(place, executor)
             client = Client(place.address)
             if kept:
-                await until(lambda: len(place.door.clients) == 1, "the connection")
+                await until(lambda: len(place.door.connections.accepted) == 1, "the connection")
             client.hand_in().leave(reset)
             time.sleep(0.35)  # the stall itself
             await until(lambda: place.turn.gauges.counts["left"] or len(executor.seen) > 1, "its end")
@@ -193,8 +193,8 @@
             client = Client(place.address)
             client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.socket.sendall(b"GET /up HTTP/1.1\r\n\r\n")
-            await until(lambda: place.door.clients, "the connection")
-            inside = next(iter(place.door.clients))
+            await until(lambda: place.door.connections.accepted, "the connection")
+            inside = next(iter(place.door.connections.accepted))
             inside.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             inside.transport.write(b"x" * 900_000)  # what it does not read
             client.hand_in()
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -5,6 +5,9 @@
 import pytest
 from crossing import Agent, Client, Executor, Place, until
 
+from grebedyke.wire.endpoint_rows import EndpointRow
+from grebedyke.wire.executor_connection import CallResult
+
 UNRUN = b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
@@ -25,9 +28,9 @@
             }[says]
             if says == "restarted":  # the same address, as another process
                 then = [old.row(since_ms=5)]
-            version = place.node.watch.index
+            version = place.node.watch.version
             agent.say(2, *then)
-            await until(lambda: place.node.watch.index != version and not place.turn.inbox, "the list")
+            await until(lambda: place.node.watch.version != version and not place.turn.inbox, "the list")
             place.gate.open.set()
             whom = old if says == "restarted" else new
             await until(lambda: whom.seen, "the forward")
@@ -47,11 +50,22 @@
             client = Client(place.address).hand_in()
             await until(lambda: place.gate.up == 1 and executor.lines, "the connect")
             executor.lines[0].close()
-            await until(lambda: not place.endpoint().lines, "that it is lost")
+            await until(lambda: not place.endpoint().connections, "that it is lost")
             place.desk.listed(
                 place.turn.clock(),
                 False,
-                [("s-2", ("127.0.0.1", int(other.address.rpartition(":")[2])), "a", "m", 0, "healthy", 0, 1)],
+                [
+                    EndpointRow(
+                        "s-2",
+                        ("127.0.0.1", int(other.address.rpartition(":")[2])),
+                        "a",
+                        "m",
+                        0,
+                        "healthy",
+                        0,
+                        1,
+                    )
+                ],
             )
             place.gate.open.set()
             await until(lambda: other.seen or executor.seen, "the next forward")
@@ -88,26 +102,28 @@
         executor, other = await Executor().start(), await Executor("s-2").start()
         async with Place(executor.row(), gate=[executor.address]) as place:
             pool, most = place.pool, []
-            pool.most = 6
+            pool.max_connections = 6
             if idle:
                 for i in range(6):
-                    pool.endpoint("s-2").listed = True
+                    pool.endpoint("s-2").is_listed = True
                     pool.endpoint("s-2").move(("127.0.0.1", int(other.address.rpartition(":")[2])), 0)
                     pool.endpoint("s-2").call(b"GET", b"/alive", (), b"", lambda *_: None)
                 await until(lambda: len(pool.endpoint("s-2").idle) == 6, "six idle lines")
             ends = []
             for i in range(20):
-                pool.endpoint("s-1").call(b"GET", b"/alive", (), b"", lambda how, *_: ends.append(how))
-                most.append(len(pool.lines) + pool.opening)
+                pool.endpoint("s-1").call(b"GET", b"/alive", (), b"", lambda end: ends.append(end.result))
+                most.append(len(pool.connections) + pool.connecting)
             await until(lambda: len(ends) == 14, "what found no room")
             await until(lambda: place.gate.up == 6, "the connects")
-            most.append(len(pool.lines) + pool.opening - place.gate.up)  # held: a line, and still opening
+            most.append(
+                len(pool.connections) + pool.connecting - place.gate.up
+            )  # held: a line, and still opening
             place.gate.open.set()
             await until(lambda: len(ends) == 20, "all ends")
-            most.append(len(pool.lines))
+            most.append(len(pool.connections))
         for server in (executor, other):
             server.server.close()
-        return max(most), ends.count("answered")
+        return max(most), ends.count(CallResult.ANSWERED)
 
     assert asyncio.run(story(False)) == (6, 6)
     assert asyncio.run(story(True)) == (6, 6)
@@ -121,11 +137,11 @@
             first = Client(place.address).hand_in("r0")
             await until(lambda: old.seen and agent.asked, "forward and watch")
             agent.say(2, new.row())
-            await until(lambda: place.node.watch.index == 2 and not place.turn.inbox, "the list")
+            await until(lambda: place.node.watch.version == 2 and not place.turn.inbox, "the list")
             old.lines[0].write(ACCEPTED)
-            await until(lambda: not place.endpoint().lines or place.endpoint().idle, "the answer")
+            await until(lambda: not place.endpoint().connections or place.endpoint().idle, "the answer")
             await place.ended(first, "r0")
-            place.pool.wary = 0
+            place.pool.duplicate_window = 0
             second = Client(place.address).hand_in("r1")
             await until(lambda: len(old.seen + new.seen) == 2, "the second forward")
             if new.seen:
@@ -147,14 +163,17 @@
             place.gate.narrow = True
             place.gate.open.set()
             client = Client(place.address).hand_in(body=b"x" * 65_536)
-            await until(lambda: [line for line in place.endpoint().lines if not line.whole], "a full kernel")
+            await until(
+                lambda: [line for line in place.endpoint().connections if not line.fully_written],
+                "a full kernel",
+            )
             agent.say(2, hasty.row(status="Terminating"), other.row())
-            await until(lambda: place.node.watch.index == 2, "the list")
+            await until(lambda: place.node.watch.version == 2, "the list")
             hasty.lines[0].write(UNRUN)
             await until(lambda: other.seen, "the next forward")
             hasty.reads.set()
             await place.ended(client, name="s-2")
-            await until(lambda: not place.endpoint().lines, "the line's end")
+            await until(lambda: not place.endpoint().connections, "the line's end")
         for server in (hasty, other, agent):
             server.server.close()
         return hasty.seen, other.seen
@@ -169,18 +188,18 @@
     async def story():
         executor = await Executor().start()
         async with Place(executor.row()) as place:
-            place.pool.wary = 60_000 if twice else 2_000  # this machine may be slow
+            place.pool.duplicate_window = 60_000 if twice else 2_000  # this machine may be slow
             first = Client(place.address).hand_in("r0")
             await until(lambda: executor.seen, "the first forward")
             await place.ended(first, "r0")
             executor.answers = lambda line, head: b""
             second = Client(place.address).hand_in("r1")
             await until(lambda: len(executor.seen) == 2, "the second forward")
-            line = next(iter(place.endpoint().lines))
-            assert len(executor.lines) == 1 and line.hot
+            line = next(iter(place.endpoint().connections))
+            assert len(executor.lines) == 1 and line.expects_duplicate
             flight = place.desk.owed[b"r1"].flights[0]
             executor.lines[0].write(UNRUN)
-            await until(lambda: line.doubted or flight.done or len(executor.seen) > 2, "the answer")
+            await until(lambda: line.suspect_response or flight.done or len(executor.seen) > 2, "the answer")
             if twice:
                 executor.lines[0].write(ACCEPTED)
                 await until(lambda: flight.accepted or flight.done, "its own answer")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -214,7 +214,7 @@
             VIEW,
             {f"s-{i}": "silent" for i in range(4)},
             "from grebedyke.service.desk import Desk; take = Desk.take\n"
-            "Desk.take = lambda s, c, i, o, t, wait, *x: take(s, c, i, o, t, wait + 3_000, *x)",
+            "Desk.take = lambda s, c, i: take(s, c, i._replace(timeout=i.timeout + 3_000))",
             False,
             1,
             "answered 1.2",
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -132,9 +132,9 @@
     node.forward()
     call = node.desk.owed[b"r1"].flights[0].call
     node.desk.by_hand(NOW, "s-2", True)
-    assert not call.over
+    assert not call.ended
     node.desk.by_hand(NOW, "s-1", True)
-    assert call.over and node.ends() == [("ended", b"r1", 0, model.MOOT, False)]
+    assert call.ended and node.ends() == [("ended", b"r1", 0, model.MOOT, False)]
     # One that is with the kernel has begun there, and is let alone.
     node = floor()
     node.hand_in()
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -15,7 +15,7 @@
 from test_signals import program, told
 
 from grebedyke.service import node
-from grebedyke.wire.discovery import entries
+from grebedyke.wire.endpoint_rows import parse_endpoint_rows
 
 TOLD = 6.0
 DRAINING = {**ROW, "name": "s-1", "address": "127.0.0.1:9", "status": "Terminating"}
@@ -107,7 +107,7 @@
             writer.transport.abort()
 
     def heard(self, now, whole, rows):
-        if self.took is None and any(row[:1] == ("s-1",) and row[5] == "draining" for row in rows):
+        if self.took is None and any(row.name == "s-1" and row.state == "draining" for row in rows):
             self.took = asyncio.get_running_loop().time() - self.since
             self.told.set()
 
@@ -202,7 +202,9 @@
 def test_an_odd_line_costs_no_other_its_change(odd):
     # The version counts as had, so what fails in the module would never be told again.
     d = dispatcher()
-    rows = entries({"endpoints": [{**DRAINING, "name": "s-2", "status": "Ready", **odd}, DRAINING]})
+    rows = parse_endpoint_rows(
+        {"endpoints": [{**DRAINING, "name": "s-2", "status": "Ready", **odd}, DRAINING]}
+    )
     d.listed(10, True, [(name, *more) for name, _, *more in rows])
     assert d.fleet.all["s-1"].state == "draining"
 
@@ -269,13 +271,13 @@
         node = floor(most=4)
         crowd = [node.client() for _ in range(6)]
         for i, one in enumerate(crowd[:owed]):
-            one.crowded = False
+            one.over_limit = False
             say(one, HAND_IN.replace(b"r1", b"o%d" % i))
         client = node.client()
-        assert client.crowded
+        assert client.over_limit
         say(client, HAND_IN)
         node.loop.go()
-        assert (client.owed is not None) == taken, owed
+        assert (client.open_request is not None) == taken, owed
         assert (b" 503 " in client.transport.written) != taken
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -17,8 +17,9 @@
 from grebedyke.service.log import Gauges
 from grebedyke.service.switch import switch
 from grebedyke.service.turn import Turn
-from grebedyke.wire.discovery import Agent, Watch
-from grebedyke.wire.peers import Peers
+from grebedyke.wire.discovery_client import DiscoveryClient, DiscoveryConnection, DiscoverySettings
+from grebedyke.wire.endpoint_rows import EndpointRow
+from grebedyke.wire.peer_socket import PeerSocket
 
 TERMS = {
     "balancers": 1,
@@ -231,14 +232,14 @@
         loop, heard = asyncio.get_running_loop(), []
         turn = still(Loop())
         turn.put = lambda call, *args: call(NOW, *args)
-        nodes = [Peers(loop, turn, lambda now, *args: heard.append(args)) for _ in range(3)]
+        nodes = [PeerSocket(loop, turn, lambda now, *args: heard.append(args)) for _ in range(3)]
         addresses = [("127.0.0.1", free_port()) for _ in nodes]
         for i, peers in enumerate(nodes):
-            peers.move(addresses[:2] if i < 2 else addresses, i)  # the first two do not know the third
-            await peers.task
+            peers.set_peers(addresses[:2] if i < 2 else addresses, i)  # the first two do not know the third
+            await peers.open_task
         for by, to, body in ((1, 0, b"x" * 257), (2, 0, b"stranger"), (1, 0, b"word"), (1, 7, b"none")):
             nodes[by].send(to, body)
-        nodes[1].move([], 0)
+        nodes[1].set_peers([], 0)
         nodes[1].send(0, b"closed")
         await asyncio.sleep(0.05)
         nodes[0].close(), nodes[2].close()
@@ -253,10 +254,10 @@
         loop, port = asyncio.get_running_loop(), free_port()
         holder = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         holder.bind(("127.0.0.1", port))
-        peers = Peers(loop, still(Loop()), None)
+        peers = PeerSocket(loop, still(Loop()), None)
         if moves:
-            peers.move([("127.0.0.1", free_port())], 0)  # is still being opened when it moves on
-        peers.move([("127.0.0.1", port)], 0)
+            peers.set_peers([("127.0.0.1", free_port())], 0)  # is still being opened when it moves on
+        peers.set_peers([("127.0.0.1", port)], 0)
         await asyncio.sleep(0.05)
         assert not peers.transport and peers.failing
         holder.close()
@@ -311,16 +312,24 @@
     loop, told_ = Loop(), Told()
     turn = still(loop)
     turn.decide = lambda now: None
-    watch = Watch(loop, turn, "127.0.0.1", 1, 41, 50_000, 10_000, again, told_.listed, told_.unlisted)
-    watch.agent = join(Agent(watch))
-    watch.ask()
-    transport = watch.agent.transport
+    watch = DiscoveryClient(
+        loop,
+        turn,
+        ("127.0.0.1", 1),
+        41,
+        DiscoverySettings(50_000, 10_000, again, again),
+        on_list=told_.listed,
+        on_failure=told_.unlisted,
+    )
+    watch.connection = join(DiscoveryConnection(watch))
+    watch.poll()
+    transport = watch.connection.transport
     for answer in answers:
-        watch.asked -= 0 if quick else 50_000
+        watch.poll_started -= 0 if quick else 50_000
         body = orjson.dumps(answer) if isinstance(answer, dict) else answer
-        say(watch.agent, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body, 11)
+        say(watch.connection, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body, 11)
         loop.go()
-        if watch.agent is None or transport.closing:
+        if watch.connection is None or transport.closing:
             break
     loop.go()
     return watch, told_.heard, transport.written
@@ -345,9 +354,9 @@
         watch, _, asked = lists({"index": 42, "endpoints": row}, quick=quick)
         assert asked.count(b"GET ") == asks
         if asks == 1:
-            next(call for _, _, call, _ in watch.turn.limits if call == watch.ask)(0)
+            next(call for _, _, call, _ in watch.batch.limits if call == watch.poll)(0)
             watch.loop.go()
-            assert watch.agent.transport.written.count(b"GET ") == 2
+            assert watch.connection.transport.written.count(b"GET ") == 2
 
 
 def test_the_log_has_the_first_few_of_what_a_bad_peer_does():
@@ -387,53 +396,63 @@
     assert {row[0] for row in heard[0][2] if row[5] == "healthy"} == {"s-1", "s-7"} and len(heard) == 1
     assert len(lines) == 2  # guards against a line each: the log is no part of the list
     # What is older is not applied; the next ask is for the whole list, which is taken whatever its version.
-    assert watch.index is None and not watch.asking
-    next(call for _, _, call, _ in watch.turn.limits if call == watch.ask)(0)
+    assert watch.version is None and not watch.polling
+    next(call for _, _, call, _ in watch.batch.limits if call == watch.poll)(0)
     watch.loop.go()
     asked = b"GET /discovery/hosts HTTP/1.1\r\nHost: 127.0.0.1:1\r\n\r\n"
-    assert watch.agent.transport.written.endswith(asked)
+    assert watch.connection.transport.written.endswith(asked)
 
 
 def test_an_answer_that_is_no_list_or_silence_is_a_failed_watch():
     for answer in (b"{", b"[]", b'{"endpoints":[]}', b'{"index":1,"endpoints":[{}]}', None):
         watch, heard, _ = lists(*(() if answer is None else (answer,)))
         if answer is None:
-            watch.silent(0, watch.serial - 1)  # of an earlier watch
-            assert watch.asking
-            watch.silent(0, watch.serial)
+            watch.poll_timed_out(0, watch.poll_number - 1)  # of an earlier watch
+            assert watch.polling
+            watch.poll_timed_out(0, watch.poll_number)
         else:
-            watch.agent.connection_lost(None)
+            watch.connection.connection_lost(None)
         watch.loop.go()
-        assert not watch.asking and watch.agent is None
-        again = [x for x in watch.turn.limits if x[2] == watch.ask]
+        assert not watch.polling and watch.connection is None
+        again = [x for x in watch.batch.limits if x[2] == watch.poll]
         assert len(again) == 1  # a push site's node goes on asking by itself
 
 
 def test_a_moved_watch_asks_anew_and_is_deaf_to_the_old_discovery():
     # Versions of two agents are not comparable, and the old one's close is no failure of discovery.
     watch, heard, _ = lists()
-    old = watch.agent
+    old = watch.connection
     watch.move("127.0.0.1", 1)
-    assert watch.agent is old  # the same address: nothing to do
+    assert watch.connection is old  # the same address: nothing to do
     watch.move("127.0.0.2", 2)
-    watch.silent(0, 1)
+    watch.poll_timed_out(0, 1)
     say(
         old, b"HTTP/1.1 200 OK\r\nContent-Length: 41\r\n\r\n" + b'{"index":99,"snapshot":true,"endpoints":[]}'
     )
     old.connection_lost(None)
     watch.loop.go()
-    assert old.transport.closing and watch.asking and not heard and watch.index is None
-    watch.agent = join(Agent(watch))
-    watch.write()
+    assert old.transport.closing and watch.polling and not heard and watch.version is None
+    watch.connection = join(DiscoveryConnection(watch))
+    watch.send_poll()
     watch.loop.go()
-    assert watch.agent.transport.written.startswith(b"GET /discovery/hosts HTTP/1.1\r\nHost: 127.0.0.2:2\r\n")
+    assert watch.connection.transport.written.startswith(
+        b"GET /discovery/hosts HTTP/1.1\r\nHost: 127.0.0.2:2\r\n"
+    )
 
 
 def test_a_connect_of_the_old_watch_does_not_end_the_new_one(monkeypatch):
     async def story(refused):
         loop, told_, opened = asyncio.get_running_loop(), Told(), []
         turn = still(Loop())
-        watch = Watch(loop, turn, "127.0.0.1", 1, 41, 50_000, 10_000, 10_000, told_.listed, told_.unlisted)
+        watch = DiscoveryClient(
+            loop,
+            turn,
+            ("127.0.0.1", 1),
+            41,
+            DiscoverySettings(50_000, 10_000, 10_000, 10_000),
+            on_list=told_.listed,
+            on_failure=told_.unlisted,
+        )
 
         async def connect(make, host, port):
             opened.append(port)
@@ -445,17 +464,17 @@
             return agent.transport, agent
 
         monkeypatch.setattr(loop, "create_connection", connect)
-        watch.ask()
+        watch.poll()
         await asyncio.sleep(0)
-        late, watch.task = watch.task, None  # as if it were past being cancelled
+        late, watch.connect_task = watch.connect_task, None  # as if it were past being cancelled
         watch.move("127.0.0.2", 2)
-        await asyncio.gather(late, watch.task)
+        await asyncio.gather(late, watch.connect_task)
         return opened, watch, turn
 
     for refused in (True, False):
         opened, watch, turn = asyncio.run(story(refused))
-        assert opened == [1, 2] and watch.asking and not watch.down and not turn.inbox
-        assert not watch.agent.transport.closing
+        assert opened == [1, 2] and watch.polling and not watch.failing and not turn.inbox
+        assert not watch.connection.transport.closing
 
 
 def test_a_reload_follows_the_files_discovery_and_refuses_a_faulty_file(tmp_path):
@@ -492,7 +511,9 @@
     place = floor()
     place.desk.shift = -5_000
     place.desk.listed(
-        0, True, [("s-1", ("127.0.0.1", 9), "a", "m", 0, "healthy", since, 1) for since in (0, 700)]
+        0,
+        True,
+        [EndpointRow("s-1", ("127.0.0.1", 9), "a", "m", 0, "healthy", since, 1) for since in (0, 700)],
     )
     assert [row[5] for row in place.told.heard[0][2]] == [0, 2_000]
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -134,7 +134,7 @@
         async with Place(executor.row()) as place:
             client, head = Client(place.address), Client.head("r1", 3) + b"abc"
             client.socket.sendall(head[:half])
-            await until(lambda: place.door.clients, "the connection")
+            await until(lambda: place.door.connections.accepted, "the connection")
             settle, looked = place.node.settle, []
             place.node.settle = lambda *args: (looked.append(1), settle(*args))
             place.node.stop()
@@ -157,7 +157,7 @@
         executor = await Executor().start()
         async with Place(executor.row()) as place:
             client = Client(place.address)
-            await until(lambda: place.door.clients, "the connection")
+            await until(lambda: place.door.connections.accepted, "the connection")
             place.node.stop()
             leave, left = place.node.leave, []
             place.node.leave = lambda: left.append(1)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -20,7 +20,7 @@
             old.node.stop()
             await until(lambda: not old.door.server, "the queue given over")
             heir.node.handover.old.close()  # as at its death: the line, the listener and what it has
-            heir.door.shut()
+            heir.door.close()
             heir.serving.cancel()
             heir.node.handover.close()
             heir.node.watch.close()
@@ -54,12 +54,12 @@
                     client.hand_in("r2").leave()  # with the kernel before the heir has the connection
                     adopted.append(await adopt(**what))
 
-                take, taken = heir.door.take, []
-                heir.door.take = lambda *what: (taken.append(what[1]), take(*what))
+                take, taken = heir.door.on_request, []
+                heir.door.on_request = lambda *what: (taken.append(what[1].request_id), take(*what))
                 heir.door.adopt = adopting
                 old.node.stop()
                 await until(lambda: adopted, "the connection handed over")
-                await until(lambda: taken and not heir.door.clients, "its close")
+                await until(lambda: taken and not heir.door.connections.accepted, "its close")
                 heir.gate.open.set()
             await asyncio.wait_for(old.serving, 20)
         executor.server.close()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -9,7 +9,7 @@
 
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import parts_of
-from grebedyke.wire.discovery import LATE, Watch
+from grebedyke.wire.discovery_client import LATE_ANSWER_TIME, DiscoveryClient
 
 
 @pytest.mark.parametrize("where", ("connect", "asked", "head", "body", "answered", "twice"))
@@ -52,7 +52,7 @@
         place = Place(executor.row(), agent=agent)
         place.watch_wait = 1_000
         async with place:
-            await until(lambda: place.node.watch.index == 9 and not place.turn.inbox, "the list")
+            await until(lambda: place.node.watch.version == 9 and not place.turn.inbox, "the list")
             client = Client(place.address).hand_in()
             await until(lambda: other.seen or executor.seen, "the forward")
             await place.ended(client, name="s-2")
@@ -71,15 +71,17 @@
 @pytest.mark.parametrize("drain", (0, 50, 300, 700, 2000, 30_000, 10**7))
 def test_two_silent_calls_end_before_what_they_miss_counts_as_told(drain):
     # Told 6 s after the first silence, or 2 s after its wait is over; at discovery's return at once.
-    grace, again, most = graces(drain, "push")
-    wait, second = 20_000, 10_000
+    wait, grace, again, most = graces(drain, "push")
+    second = 10_000
+    assert wait == 20_000
     # A third call may be silent, too, and the one after it be answered a second late.
     assert wait + 3 * (grace + most) + second < 6 * second
     assert grace + most <= max(drain * 10, 2_000) and again > 0
     # A discovery that all nodes ask answers in its turn, within 2 s: that is waited for (a call that was
     # given up is heard for a second more), after one silence, or after two with an answer at once.
-    grace, again, most = graces(drain, "ask")
-    assert grace + LATE >= 2 * second and again < most
+    wait, grace, again, most = graces(drain, "ask")
+    assert wait == 20_000
+    assert grace + LATE_ANSWER_TIME >= 2 * second and again < most
     assert wait + grace + again + 2 * second < 6 * second
     assert wait + 2 * grace + again + 2 * again < 6 * second and grace + most + 2 * second < 6 * second
 
@@ -88,10 +90,10 @@
     # 32 nodes that asked each fifth of a second, and gave up what stood in its queue, were never told.
     turn, asked = SimpleNamespace(put=lambda *x: None, after=lambda wait, call: asked.append(wait)), []
     for mode, pauses in (("ask", [2_500, 5_000, 7_500, 7_500]), ("push", [2_500] * 4)):
-        grace, again, most = graces(2_000, mode)
-        watch, asked[:] = Watch(None, turn, "h", 1, 1, 20_000, grace, again, None, None, most), []
+        settings, asked[:] = graces(2_000, mode), []
+        watch = DiscoveryClient(None, turn, ("h", 1), 1, settings, on_list=None, on_failure=None)
         for _ in range(4):
-            watch.fail()
+            watch.poll_failed()
         assert asked == pauses
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -2,8 +2,10 @@
 from helpers import HAND_IN, NOW, floor, join, news, say
 
 from grebedyke import model
-from grebedyke.wire import http
-from grebedyke.wire.ring import RingBuffer
+from grebedyke.errors import HttpProtocolError
+from grebedyke.wire.executor_pool import EndpointAddress
+from grebedyke.wire.http_parser import HttpParser
+from grebedyke.wire.ring_buffer import RingBuffer
 
 ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
@@ -11,14 +13,14 @@
 def parse(data, step, answers=False, size=512, largest=64):
     """All messages of data, fed in pieces of `step` bytes."""
     ring, found = RingBuffer(size), []
-    parser = http.Parser(ring, answers, largest, (b"x-id",))
+    parser = HttpParser(ring, answers, largest, (b"x-id",))
     while data:
-        room = ring.room()
+        room = ring.writable()
         n = min(step, len(room), len(data))
         room[:n] = data[:n]
-        ring.wrote(n)
+        ring.commit(n)
         data = data[n:]
-        while (message := parser.next()) is not None:
+        while (message := parser.next_message()) is not None:
             found.append(message)
     return found, parser
 
@@ -80,16 +82,16 @@
         (head + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc", 400),
     ):
         for step in (1, len(data)):
-            with pytest.raises(http.Bad) as caught:
+            with pytest.raises(HttpProtocolError) as caught:
                 parse(data, step)
             assert caught.value.status == status, data
 
 
 def test_an_answer_without_a_length_ends_with_the_connection():
     found, parser = parse(b"HTTP/1.1 200 OK\r\n\r\nabc", 4, answers=True)
-    assert not found and parser.ended() == (200, {}, b"abc") and not parser.keep
+    assert not found and parser.end_of_stream() == (200, {}, b"abc") and not parser.keep_alive
     found, parser = parse(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", 4, answers=True)
-    assert not found and parser.ended() is None
+    assert not found and parser.end_of_stream() is None
 
 
 def test_the_door_answers_what_it_is_not_for():
@@ -136,7 +138,7 @@
     node = floor()
     client, seen = node.client(), []
     for up, stopping in ((False, False), (True, False), (True, True)):
-        node.door.up, node.door.stopping = up, stopping
+        node.door.has_listened, node.door.stopping = up, stopping
         client.transport.written = b""
         say(client, b"GET /up HTTP/1.1\r\n\r\n")
         node.loop.go()
@@ -164,9 +166,9 @@
 def test_an_answer_of_this_turn_goes_out_before_its_connection_is_closed():
     # At the stop's end, and where room is made, the answer was still in the ring and was lost.
     for close in (
-        lambda node: node.door.wind_up(),
+        lambda node: node.door.close_idle(),
         lambda node: node.client(),
-        lambda node: node.door.shut(),
+        lambda node: node.door.close(),
     ):
         node = floor(most=1)
         client = node.hand_in()
@@ -195,7 +197,8 @@
             + [("silent", HAND_IN[:30])] * silent
         ]
         node.loop.go()
-        node.door.unsaid = {c: since - age for c, since in node.door.unsaid.items()}
+        connections = node.door.connections
+        connections.incomplete = {c: since - age for c, since in connections.incomplete.items()}
         good = say(node.client(), HAND_IN.replace(b"r1", b"r2"))
         node.loop.go()
         assert [name for name, c in crowd if c.transport.closing] == closed, (silent, asked, age)
@@ -225,7 +228,7 @@
     for since, address, closing in ((0, 1, False), (0, 1, False), (900, 1, True), (900, 2, True)):
         line = node.lines[0] = join(type(node.lines[0])(node.pool.endpoints["s-1"]))
         node.pool.endpoints["s-1"].idle = [line]
-        node.pool.listed(False, [("s-1", ("127.0.0.9", address), "healthy", since)])
+        node.pool.update_endpoints(False, [EndpointAddress("s-1", ("127.0.0.9", address), "healthy", since)])
         assert line.transport.closing == closing, (since, address)
 
 
@@ -238,7 +241,7 @@
     node.loop.go()
     say(used, HAND_IN[:-1])
     for after, told in ((20_000, []), (22_500, [slow, mute]), (70_000, [slow, mute, used])):
-        node.door.look(NOW + after)
+        node.door.close_overdue(NOW + after)
         node.loop.go()
         assert [
             c for c in (slow, mute, owed, used) if c.transport.written.count(b"HTTP/1.1 408") == 1
@@ -250,7 +253,7 @@
     node, paused = floor(), []
     client = say(node.client(), HAND_IN.replace(b"Length: 3", b"Length: 60000000"))
     node.loop.go()
-    client.transport.pause_reading = lambda: paused.append(client.waste)
+    client.transport.pause_reading = lambda: paused.append(client.bytes_discarded)
     say(client, b"x" * 300_000, 8_000)
     assert paused and (1 << 18) < paused[0] < 280_000
 
@@ -505,10 +508,10 @@
         node = floor()
         node.turn.marks.extend([NOW - stall] * 3)
         client = say(node.client(), HAND_IN)
-        assert client.owed.due == NOW + 40_000 - 200 - early
+        assert client.open_request.due == NOW + 40_000 - 200 - early
         node.loop.go()
         node.forward(allowed=39_000)
-        due = client.owed.due
+        due = client.open_request.due
         node.turn.limits.sort()
         ends = [(limit[0], limit[2].__name__) for limit in node.turn.limits]
         assert (due - 50, "overslept") in ends and any(
@@ -522,7 +525,7 @@
     node = floor()
     node.desk.latest = NOW + 20_000
     client = node.hand_in()
-    assert client.owed.due == node.desk.latest
+    assert client.open_request.due == node.desk.latest
     assert node.told.heard[0][4] == NOW + 39_800
 
 
@@ -545,7 +548,7 @@
     node.hand_in()
     node.forward()
     assert young.transport.written and not node.lines[0].transport.written
-    node.lines[0].since -= node.pool.keep
+    node.lines[0].idle_since -= node.pool.settings.max_idle_time
     node.desk.do(NOW, ("probe", "s-1"))
     node.loop.go()
     assert not node.lines[0].transport.written
@@ -564,21 +567,21 @@
         node = floor()
         node.hand_in()
         line = node.lines[0]
-        line.since, line.fresh = NOW - 30_000, first
+        line.idle_since, line.is_new = NOW - 30_000, first
         if ending == "eof":
             line.eof_received()
         else:
             node.forward()
-            line.call.drop() if ending == "dropped" else None
+            line.call.abandon() if ending == "dropped" else None
             line.connection_lost(ConnectionResetError())
-        assert node.pool.usable == usable, (ending, first)
+        assert node.pool.usable_idle_time == usable, (ending, first)
         node.pool.endpoints["s-2"].idle = [node.lines[1]]
-        node.lines[1].since = NOW - 20_000
+        node.lines[1].idle_since = NOW - 20_000
         node.desk.do(NOW, ("probe", "s-2"))
         node.loop.go()
         assert bool(node.lines[1].transport.written) == (usable == 1_000_000)
         node.pool.sweep(NOW)
-        assert node.pool.usable == min(usable + usable // 10 + 10, node.pool.keep)
+        assert node.pool.usable_idle_time == min(usable + usable // 10 + 10, node.pool.settings.max_idle_time)
 
 
 def test_one_fault_does_not_end_the_turn_for_others():
