--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -22,12 +22,13 @@
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.load import fleet as plain
 from grebedyke.load import shape
-from grebedyke.maintenance.maintenance import Maintenance
+from grebedyke.maintenance.component import Maintenance
 from grebedyke.model import SeededRandom
 from grebedyke.rate_limits.component import RateLimits
-from grebedyke.rate_limits.definitions import OPEN, RATE, Limit, name_id
-from grebedyke.rig.limited import Asked
-from grebedyke.rig.world import GRACE, RAMP, WINDOW, World
+from grebedyke.rate_limits.definitions import Limit, LimitKind, wire_id_of
+from grebedyke.rate_limits.lease_terms import LeaseTerms
+from grebedyke.rig.limited import LimitedRequest
+from grebedyke.rig.world import World, maintenance_settings
 from grebedyke.service.configuration import open_dispatcher, terms
 from grebedyke.service.log import Gauges
 from grebedyke.service.turn import Turn
@@ -39,7 +40,7 @@
 
 # As the program has them without further word: fleet.waitMs, maintenance.leaseMs, shares.leaseMs.
 WAIT, LEASE = TICKS_PER_SECOND // 5, 2 * TICKS_PER_SECOND
-MARK = framing.mark("fleet")
+MARK = framing.fleet_tag("fleet")
 # Looking at that clock takes longer than many a call.
 LOOK = median(-thread_time() + thread_time() for _ in range(999))
 NOT_STATE = ModuleType, type, FunctionType, BuiltinFunctionType, SeededRandom
@@ -51,7 +52,10 @@
 
 def unit():
     """Seconds of CPU for the stated piece of work: a thousand asks for 34 limits, framed and read."""
-    ask, whole = ["s", 7, 1, 99, 6, 5, [[100 * i, 1_000 * i, i] for i in range(34)], []], framing.Whole(MARK)
+    ask, whole = (
+        ["s", 7, 1, 99, 6, 5, [[100 * i, 1_000 * i, i] for i in range(34)], []],
+        framing.Reassembler(MARK),
+    )
     took = []
     for _ in range(5):
         start = thread_time()
@@ -101,25 +105,25 @@
         finally:
             self.spent[0] += thread_time() - start - LOOK
 
-    def heard(self, now, by, message):
-        return self.timed(self.part.heard, now, by, message)
+    def receive(self, now, sender, message):
+        return self.timed(self.part.receive, now, sender, message)
 
-    def decide(self, now):
-        return self.timed(self.part.decide, now)
+    def next_action(self, now):
+        return self.timed(self.part.next_action, now)
 
-    def busy(self, now, names):
-        self.timed(self.part.busy, now, names)
+    def open_attempts_reported(self, now, names):
+        self.timed(self.part.open_attempts_reported, now, names)
 
 
 def names(count):
     """Of limits, no two too like each other, as a configuration has to have them.
 
-    >>> names(2), len({name_id(name) for name in names(400)})
+    >>> names(2), len({wire_id_of(name) for name in names(400)})
     (['l0', 'l1'], 400)
     """
     found, i = {}, 0
     while len(found) < count:
-        found.setdefault(name_id(f"l{i}"), f"l{i}")
+        found.setdefault(wire_id_of(f"l{i}"), f"l{i}")
         i += 1
     return [*found.values()]
 
@@ -138,7 +142,7 @@
         self.lease, self.many, self.maintenance = lease, limits, maintenance
         self.wanted, self.full = limits if wanted is None else min(wanted, limits), full
         super().__init__(seed, nodes=nodes, voters=5, executors=executors, faults=0)
-        self.wholes = [framing.Whole(MARK) for _ in range(nodes)]
+        self.wholes = [framing.Reassembler(MARK) for _ in range(nodes)]
         self.spent, self.number = [[0.0] for _ in range(nodes)], 0
         self.counts, self.regions, self.by_second = Counter(), None, None
         for host in self.hosts:
@@ -162,27 +166,18 @@
                     me,
                     n,
                     process,
-                    self.lease,
-                    self.drift,
-                    GRACE,
-                    RAMP,
-                    WINDOW,
-                    ("zone",),
-                    None,
+                    maintenance_settings(self.lease, self.drift),
                 )
             )
         if self.many:
             limits = [
-                Limit(name, RATE, 100_000 * n, 4 * n, 100, None, f"op{i}", False)
+                Limit(name, LimitKind.RATE, 100_000 * n, 4 * n, 100, None, f"op{i}", False)
                 if i % 2
-                else Limit(name, OPEN, 4 * n, 0, 1, None, f"op{i}", False)
+                else Limit(name, LimitKind.CONCURRENCY, 4 * n, 0, 1, None, f"op{i}", False)
                 for i, name in enumerate(names(self.many))
             ]
-            parts.append(
-                RateLimits(
-                    agreement, me, n, process, limits, self.lease, self.drift, TICKS_PER_SECOND, host.clock()
-                )
-            )
+            terms = LeaseTerms(n, self.lease, self.drift, TICKS_PER_SECOND)
+            parts.append(RateLimits(agreement, me, process, limits, terms, host.clock()))
         return [Timed(part, self.spent[me]) for part in parts]
 
     def work(self):
@@ -190,12 +185,12 @@
         for host in self.hosts:
             if not host.alive:
                 continue
-            now, gate = host.clock(), host.parts[-1].gate
-            meters = [*gate.meters.values()]
+            now, limiter = host.clock(), host.parts[-1].request_limiter
+            meters = [*limiter.meters.values()]
             for k in range(self.wanted):
                 i = (host.me + k) % self.many
-                if self.full or i % 2 or meters[i].used < 2:
-                    gate.take(now, Asked(f"op{i}", None))
+                if self.full or i % 2 or meters[i].in_flight < 2:
+                    limiter.try_acquire(now, LimitedRequest(f"op{i}", None))
             host.pull()
 
     def voted(self, host):
@@ -282,8 +277,9 @@
     world = quiet(Measured(nodes, limits=limits, maintenance=False, executors=0, **shape))
     rows, some = world.measure(span), "all" if world.wanted == world.many else "two"
     more = f", {some} full" if world.full else ""
-    (holder,) = (h.me for h in world.hosts if h.parts[-1].sure(h.clock()))
-    assert any(m.share for h in world.hosts for m in h.parts[-1].gate.meters.values()), "nothing is granted"
+    (holder,) = (h.me for h in world.hosts if h.parts[-1].election.is_certain_holder(h.clock()))
+    limiters = [h.parts[-1].request_limiter for h in world.hosts]
+    assert any(m.share for limiter in limiters for m in limiter.meters.values()), "nothing is granted"
     return [
         row("holder of limits" + more, against, size, **world.role(rows, [holder])),
         row("node: limits" + more, against, size, **world.role(rows, range(5, nodes))),
@@ -298,7 +294,7 @@
     names = [e.name for e in world.executors][:length]
     plan = {"machines": names, "most": most, "workMs": 60_000, "leastShare": 0.0}
     world.call(b"/v1/maintenance/plan", plan)
-    rows, rev = world.measure(span), max(h.parts[1].board["rev"] for h in world.hosts if h.parts[1].board)
+    rows, rev = world.measure(span), max(h.parts[1].rollout.revision for h in world.hosts)
     changes = rev / (span / TICKS_PER_SECOND) * 3600
     told = [
         row(
@@ -324,7 +320,7 @@
     def change():
         i = len(made) % len(value)
         made.append(i)
-        giver.parts[0].change(
+        giver.parts[0].propose(
             giver.clock(),
             "configuration",
             lambda old: ({**(old or value), f"key {i}": f"{len(made):040}"}, True),
@@ -371,9 +367,9 @@
         world.run(world.now + TICKS_PER_SECOND // 2)
         if whole is None and all(
             h.alive
-            and h.parts[1].sure(h.clock())
-            and h.parts[2].answered
-            and any(m.held(h.clock()) for m in h.parts[2].gate.meters.values())
+            and h.parts[1].view_is_certain(h.clock())
+            and h.parts[2].share_client.answered_at
+            and any(m.active_share(h.clock()) for m in h.parts[2].request_limiter.meters.values())
             for h in world.hosts
         ):
             whole = (world.now - start) / TICKS_PER_SECOND
--- a/grebedyke/rig/taps.py
+++ b/grebedyke/rig/taps.py
@@ -16,13 +16,14 @@
 
 import msgpack
 
+from grebedyke.consensus.actions import SendMessage
 from grebedyke.model import SeededRandom
-from grebedyke.rate_limits.definitions import OPEN
+from grebedyke.rate_limits.definitions import LimitKind
 from grebedyke.units import TICKS_PER_SECOND
 
 # What went through is told by spans of that length: the judge's slack is what one of them lets through.
 SPAN = TICKS_PER_SECOND // 10
-TIMED = "heard", "decide", "do", "last_look"
+TIMED = "receive_datagram", "next_action", "perform", "expire"
 
 
 class Tap:
@@ -45,7 +46,7 @@
         """Around a node that has been put together and has not begun."""
         self.parts, self.knows = parts, {}
         self.asks.extend([0] * 3)
-        send, receive, do = parts.send, peers.datagram_received, parts.do
+        send, receive, do = parts.send_datagram, peers.datagram_received, parts.perform
 
         def out(to, body):
             self.counts[0] += 1
@@ -63,18 +64,18 @@
             receive(data, address)
 
         def done(now, part, decision):
-            if decision[0] == "send":
-                kind = decision[2][0]
+            if isinstance(decision, SendMessage):
+                kind = decision.message[0]
                 self.kinds[kind] += 1
                 if kind == "s":
-                    self.asked(now, part.lease)
+                    self.asked(now, part.terms.lease)
             do(now, part, decision)
 
-        parts.send, peers.datagram_received, parts.do = out, received, done
+        parts.send_datagram, peers.datagram_received, parts.perform = out, received, done
         for name in TIMED:
             setattr(parts, name, self.timed(getattr(parts, name)))
-        self.agreement = next(part for part in parts.parts if hasattr(part, "followers"))
-        self.agreement.followers.append(self.learned)
+        self.agreement = next(part for part in parts.components if hasattr(part, "listeners"))
+        self.agreement.listeners.append(self.learned)
 
     def asked(self, now, lease):
         """Of three asks in a row, without news of a holder in between, at most one is out of its turn: by the
@@ -99,27 +100,27 @@
 
     def learned(self, now, key, value):
         self.learned_at = now
-        self.knows[key] = self.seen.learned(self.me, key, self.agreement.learned[key][0], value)
+        self.knows[key] = self.seen.learned(
+            self.me, key, tuple(self.agreement.chosen_values.by_key[key].ballot), value
+        )
 
     def ready(self, now):
         """Whether this node may do all that its parts are for: its view is sure, its shares are in force."""
-        return self.parts.begun and all(
-            part.sure(now)
-            if not hasattr(part, "gate")
-            else part.share_asked is not None
-            and now < part.share_asked + part.lease
-            and part.term == (part.value or {}).get("term")
-            for part in self.parts.parts
-            if hasattr(part, "sure")
+        return self.parts.is_started and all(
+            part.view_is_certain(now)
+            if hasattr(part, "view_is_certain")
+            else part.share_client.has_current_shares(now)
+            for part in self.parts.components
+            if hasattr(part, "view_is_certain") or hasattr(part, "share_client")
         )
 
     def role(self):
         """What this node is to the others at this moment; who drives a plan the run knows."""
-        if self.parts is None or not self.parts.begun:
+        if self.parts is None or not self.parts.is_started:
             return "down"
-        if any(part.holds() for part in self.parts.parts if hasattr(part, "holds")):
+        if any(part.election.is_holder() for part in self.parts.components if hasattr(part, "election")):
             return "holder"
-        return "voter" if self.agreement.votes() else "other"
+        return "voter" if self.agreement.is_voting() else "other"
 
 
 class Seen:
@@ -147,7 +148,7 @@
     """What a node's clients would have: each of `wants` (tenants) once in `every`, at times of its own.
 
     What goes through runs for up to `hold`, whatever becomes of its node meanwhile. Without the ledger of
-    clients and executors: the gate alone is asked, as the decision module asks it.
+    clients and executors: the limiter alone is asked, as the decision module asks it.
     """
 
     def __init__(self, loop, tap, turn, seed, wants, operation, every, hold, passes):
@@ -167,18 +168,21 @@
         self.timer = self.loop.call_later(
             self.every * (0.5 + self.chance.draw()) / TICKS_PER_SECOND, self.ask
         )
-        gate = next((part.gate for part in self.tap.parts.parts if hasattr(part, "gate")), None)
-        if gate is None or not self.tap.parts.begun:
+        limiter = next(
+            (part.request_limiter for part in self.tap.parts.components if hasattr(part, "request_limiter")),
+            None,
+        )
+        if limiter is None or not self.tap.parts.is_started:
             return
         for tenant in self.wants:
             now, inv = self.turn.clock(), Asked(self.operation, tenant)
-            if gate.take(now, inv):
+            if limiter.try_acquire(now, inv):
                 continue
             self.passes[tenant, now // SPAN, 1] += 1
-            if inv in gate.open:
+            if inv in limiter.acquired_slots:
                 wait = int(self.hold * (0.1 + 0.85 * self.chance.draw()))
                 self.passes[tenant, (now + wait) // SPAN, -1] += 1
-                self.loop.call_later(wait / TICKS_PER_SECOND, gate.give, inv)
+                self.loop.call_later(wait / TICKS_PER_SECOND, limiter.release, inv)
         # As after any input: who has none and is asked for some says so at once.
         self.turn.hurry()
 
@@ -207,9 +211,9 @@
 )
 
 
-def weighed(parts):
-    """(objects, bytes) that hang on the parts of a node; what several nodes share is each one's."""
-    seen, left, size = set(), [*parts.parts, parts.whole], 0
+def weighed(components, reassembler):
+    """(objects, bytes) that hang on the components of a node; what several nodes share is each one's."""
+    seen, left, size = set(), [*components, reassembler], 0
     while left:
         one = left.pop()
         if id(one) in seen or isinstance(one, OPAQUE):
@@ -247,7 +251,7 @@
             for name, x in attributes(one).items():
                 walk(f"{path}.{name}", x)
 
-    for part in parts.parts:
+    for part in parts.components:
         walk(type(part).__name__, part)
     return {path: (n, number[path]) for path, n in found.items()}
 
@@ -255,6 +259,8 @@
 def limits_of(section):
     """Tenant -> (kind, a second or at once, burst), as a configuration has them."""
     return {
-        row["tenant"]: ("rate", row["rate"], row["burst"]) if row.get("rate") else (OPEN, row["underWay"], 0)
+        row["tenant"]: (LimitKind.RATE, row["rate"], row["burst"])
+        if row.get("rate")
+        else (LimitKind.CONCURRENCY, row["underWay"], 0)
         for row in section["limits"]
     }
--- a/grebedyke/rig/world.py
+++ b/grebedyke/rig/world.py
@@ -10,8 +10,17 @@
 
 import msgpack
 
+from grebedyke.consensus.acceptor import Phase
+from grebedyke.consensus.actions import (
+    AnswerCall,
+    ExcludeEndpoints,
+    PersistRecord,
+    SendMessage,
+    WakeAt,
+)
 from grebedyke.consensus.consensus import Consensus
-from grebedyke.maintenance.maintenance import Maintenance
+from grebedyke.maintenance.component import Maintenance
+from grebedyke.maintenance.settings import MaintenanceSettings
 from grebedyke.model import SeededRandom
 from grebedyke.rig.spec import Spec
 from grebedyke.units import TICKS_PER_SECOND
@@ -27,6 +36,19 @@
 CALM = 60 * TICKS_PER_SECOND
 
 
+def maintenance_settings(lease, drift):
+    """Returns the settings of a simulated node's maintenance component."""
+    return MaintenanceSettings(
+        lease=lease,
+        drift=drift,
+        drain_grace=GRACE,
+        warm_up_time=RAMP,
+        idempotency_window=WINDOW,
+        idempotency_groups=("zone",),
+        trust_stored_view_after=None,
+    )
+
+
 class Disk:
     """What outlasts a process. `lies`: says done and forgets at a crash; `slow`: seconds; `fails`: EIO."""
 
@@ -51,7 +73,7 @@
 
 
 class Host:
-    """One node: what service/parts.py does on sockets, without them."""
+    """One node: what service/component_host.py does on sockets, without them."""
 
     def __init__(self, world, me):
         self.world, self.me, self.disk = world, me, Disk()
@@ -71,7 +93,7 @@
         self.offset = w.random.randrange(10**9)
         self.parts = w.parts_for(self)
         for part in self.parts:
-            part.recalled(self.clock(), {name: self.disk.files.get(name) for name in part.files})
+            part.restore(self.clock(), {name: self.disk.files.get(name) for name in part.record_files})
         self.told_list()
         self.pull()
 
@@ -81,7 +103,7 @@
             for e in self.world.executors
         ]
         for part in self.parts:
-            part.listed(self.clock(), True, [row for row in rows if row[4] == "healthy"])
+            part.endpoints_changed(self.clock(), True, [row for row in rows if row[4] == "healthy"])
 
     def end(self):
         self.disk.crash()
@@ -92,7 +114,7 @@
             self.mail.append((by, message))  # a stopped process wakes to a full socket
         elif self.alive:
             for part in self.parts:
-                if part.heard(self.clock(), by, message):
+                if part.receive(self.clock(), by, message):
                     break
             self.pull()
 
@@ -110,36 +132,35 @@
             return
         now = self.clock()
         for part in self.parts:
-            if part.watching:
-                part.busy(now, [n for n in part.watching if self.open[n]])
+            if part.watched_endpoints:
+                part.open_attempts_reported(now, [n for n in part.watched_endpoints if self.open[n]])
         again = True
         while again:
             again = False
             for part in self.parts:
-                while (decision := part.decide(now)) is not None:
+                while (action := part.next_action(now)) is not None:
                     again = True
-                    self.do(now, part, *decision)
+                    self.do(now, part, action)
         self.world.voted(self)
 
-    def do(self, now, part, kind, *rest):
+    def do(self, now, part, action):
         w = self.world
-        if kind == "send":
-            w.carry(self.me, *rest)
-        elif kind == "keep":
-            name, number, data = rest
+        if isinstance(action, SendMessage):
+            w.carry(self.me, action.node, action.message)
+        elif isinstance(action, PersistRecord):
             wait = (
                 w.random.randrange(2 * TICKS_PER_SECOND, 5 * TICKS_PER_SECOND)
                 if self.disk.slow
                 else w.random.randrange(5, 100)
             )
-            w.later(wait, self.written, self.life, part, name, number, data)
-        elif kind == "wake":
-            self.ring(rest[0])
-        elif kind == "hands":
-            self.names, self.blind = rest
-        elif kind == "answer":
-            call, status, text = rest
-            call(status, text)
+            w.later(wait, self.written, self.life, part, *action)
+        elif isinstance(action, WakeAt):
+            self.ring(action.at)
+        elif isinstance(action, ExcludeEndpoints):
+            self.names = action.names
+            self.blind = action.all_others
+        elif isinstance(action, AnswerCall):
+            action.call(action.status, action.body)
 
     def ring(self, at):
         wait = max(int((at - self.clock()) / self.rate) + 1, 1)
@@ -162,22 +183,21 @@
             self.disk.write(name, data)
         else:
             self.world.done["disk failed"] += 1
-        part.kept(self.clock(), name, number, done)
+        part.record_persisted(self.clock(), name, number, done)
         self.pull()
 
     def whole(self):
         """Votes, and has on its disk what it votes by: who is let in again forgets if that write fails."""
         vote = self.parts[0] if self.alive else None
-        return vote and vote.voter.phase == "voting" and not (vote.writing or vote.dirty or self.disk.fails)
+        return vote and vote.acceptor.phase == Phase.VOTING and vote.store.is_clean() and not self.disk.fails
 
     def uses(self, name):
         """Whether it may send there: asked at the last moment, as the host on sockets does."""
         now = self.clock()
         for part in self.parts:
-            part.look(now)
-            for decision in [x for x in part.out if x[0] == "hands"]:
-                part.out.remove(decision)
-                self.do(now, part, *decision)
+            part.expire(now)
+            for action in part.take_exclusions():
+                self.do(now, part, action)
         return not self.blind and name not in self.names
 
 
@@ -220,9 +240,9 @@
         """The parts that a node's process has, in the order in which they are asked."""
         agreement, me = self.agreement_for(host), host.me
         maintenance = Maintenance(
-            agreement, "f", me, self.count, host.life, LEASE, self.drift, GRACE, RAMP, WINDOW, ("zone",), None
+            agreement, "f", me, self.count, host.life, maintenance_settings(LEASE, self.drift)
         )
-        agreement.followers.append(lambda now, key, value: self.learned(me, key, value))
+        agreement.listeners.append(lambda now, key, value: self.learned(me, key, value))
         return [agreement, maintenance]
 
     def later(self, wait, call, *args):
@@ -258,8 +278,8 @@
 
     def voted(self, host):
         """When each board was first voted for by anyone."""
-        if (vote := host.parts[0].voter.registers.get("board")) and vote[2]:
-            self.accepted.setdefault(vote[2]["rev"], self.now)
+        if board := host.parts[0].accepted_value("board"):
+            self.accepted.setdefault(board["rev"], self.now)
 
     def learned(self, node, key, value):
         # A change that a minority has voted for may come about long after what it rested on was seen.
@@ -313,7 +333,7 @@
         if not up:
             return
         host = self.random.choice(up)
-        told = host.parts[1].state(host.clock())
+        told = host.parts[1].status(host.clock())
         self.spec.told(self.now, host.me, told)
         for row in told["machines"]:
             if row["state"] == "free" and row["name"].startswith("node:"):
@@ -379,11 +399,11 @@
                 self.done["calls"] += 1
 
         self.later(6 * TICKS_PER_SECOND, lambda: host.life != life and answered(503, "died"))
-        host.parts[1].called(host.clock(), answered, b"POST", path, body)
+        host.parts[1].operator_call(host.clock(), answered, b"POST", path, body)
         host.pull()
 
     def settled(self):
-        states = [h.parts[1].state(h.clock()) for h in self.hosts if h.alive and not h.stopped]
+        states = [h.parts[1].status(h.clock()) for h in self.hosts if h.alive and not h.stopped]
         one = len(states) == self.count and len({s["rev"] for s in states}) == 1
         return one and all(s["sure"] and not s["plan"] for s in states)
 
@@ -571,5 +591,5 @@
     end = w.now + CALM
     while w.now < end and not w.settled():
         w.run(w.now + TICKS_PER_SECOND)
-    w.spec.ended(w.now, [h.parts[1].state(h.clock()) for h in w.hosts])
+    w.spec.ended(w.now, [h.parts[1].status(h.clock()) for h in w.hosts])
     return w.spec.broken, w
