--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -2,8 +2,8 @@
 
 import orjson
 import pytest
-from crossing import TERMS
 from helpers import HAND_IN, NOW, floor, pull, say
+from node_harness import SETTINGS
 
 from grebedyke.model import TIMEOUT
 from grebedyke.service import configuration
@@ -62,9 +62,9 @@
 
 def test_a_longer_tick_does_not_send_again_beside_a_forward_whose_time_is_over():
     terms = {
-        **TERMS,
+        **SETTINGS,
         "tickMs": 2,
-        "operations": [{**TERMS["operations"][0], "idempotency": "safe", "latencyObjectiveMs": 20_000}],
+        "operations": [{**SETTINGS["operations"][0], "idempotency": "safe", "latencyObjectiveMs": 20_000}],
     }
     d = configuration.open_dispatcher("1", configuration.terms(orjson.loads(orjson.dumps(terms))))
     d.listed(10, True, [(f"s-{i}", "a", "m", 0, "healthy", 0, 1) for i in range(3)])
@@ -84,11 +84,11 @@
     terms = paced(
         configuration.terms(
             {
-                **TERMS,
+                **SETTINGS,
                 "tickMs": tick,
                 "operations": [
-                    TERMS["operations"][0],
-                    {**TERMS["operations"][0], "name": "b", "clientTimeoutMs": shortest},
+                    SETTINGS["operations"][0],
+                    {**SETTINGS["operations"][0], "name": "b", "clientTimeoutMs": shortest},
                 ],
             }
         )
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -1,86 +1,106 @@
-"""Ends of forwards that cross: call-backs, answers, DELETE, lives of an executor."""
+"""Ends of attempts that cross: call-backs, responses, cancels, incarnations of an executor."""
 
 import asyncio
 
-from crossing import TERMS, Agent, Client, Executor, Place, until
+from node_harness import SETTINGS, BlockingClient, DiscoveryEmulator, ExecutorEmulator, NodeHarness, until
 
-ENDLESS = b"HTTP/1.1 202 Accepted\r\nContent-Length: 1000\r\n\r\nand so"
+ENDLESS_RESPONSE = b"HTTP/1.1 202 Accepted\r\nContent-Length: 1000\r\n\r\nand so"
 
 
-def test_an_answer_that_never_ends_does_not_keep_its_line_after_the_forwards_end():
+def test_an_answer_that_never_ends_does_not_keep_its_connection_after_the_attempts_end():
+    """An executor begins its 202 and never completes it.
+
+    Its call-back ends the attempt. The connection would stay open for good, and its share of descriptors with
+    it, if the node waited for the rest of the response.
+    """
+
     async def story():
-        executor = await Executor().start()
-        executor.answers = lambda line, head: ENDLESS
-        async with Place(executor.row()) as place:
-            client = Client(place.address).hand_in()
-            await until(lambda: executor.seen, "the forward")
-            call = next(iter(place.endpoint().connections)).call
-            place.desk.probe_wait = 300  # a 202 is no longer waited for once the forward is over
+        executor = await ExecutorEmulator().start()
+        executor.respond = lambda line, headers: ENDLESS_RESPONSE
+        async with NodeHarness(executor.row()) as harness:
+            client = BlockingClient(harness.address).send_request()
+            await until(lambda: executor.received, "the attempt")
+            call = next(iter(harness.endpoint().connections)).call
+            harness.desk.probe_wait = 300  # a 202 is no longer waited for once the attempt is over
             assert call and not call.ended
-            await place.ended(client)
-            await until(lambda: not place.endpoint().connections, "the line's end")
+            await harness.finish(client)
+            await until(lambda: not harness.endpoint().connections, "the connection's end")
         executor.server.close()
 
     asyncio.run(story())
 
 
-def test_a_late_word_of_a_former_life_does_not_end_the_forward_to_the_next():
-    # Back on the list after a sweep the executor was another one to the books: "returned" of the forward
-    # before was believed of this one, which ran, and a third went out beside it.
+def test_a_late_call_back_of_a_former_incarnation_does_not_end_the_attempt_to_the_next():
+    """An executor left the list and came back, with the same name, while a request of its was open.
+
+    After a sweep the node knew it as another endpoint: "returned" of the first attempt there was taken for
+    the second one's, which ran, and a third went out beside it. The node must cancel the second one first.
+    """
+
     async def story():
-        executor, agent = await Executor().start(), await Agent().start()
-        executor.answers = lambda line, head: b""
-        keyed = {
-            **TERMS["operations"][0],
+        executor = await ExecutorEmulator().start()
+        discovery = await DiscoveryEmulator().start()
+        executor.respond = lambda line, headers: b""
+        keyed_operation = {
+            **SETTINGS["operations"][0],
             "idempotency": "keyed",
             "group": "all",
             "windowMs": 60_000,
             "latencyObjectiveMs": 7000,
         }
         other = executor.row(name="s-2")
-        async with Place(executor.row(), other, agent=agent, operations=[keyed]) as place:
-            place.desk.dispatcher.fleet.all["s-2"].shut = 2**62  # what is held waits for it
-            client = Client(place.address).hand_in()
-            await until(lambda: executor.seen and agent.asked, "the forward")
-            agent.say(2, executor.row(status="Gone"))
-            await until(lambda: not place.endpoint().is_listed, "the list")
-            executor.lines[0].close()
-            await until(lambda: "s-1" not in place.pool.endpoints, "the sweep")
-            executor.answers = lambda line, head: b"HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n"
-            agent.say(3, executor.row(since_ms=7))
-            await until(lambda: len(executor.seen) == 2, "the second forward")
-            flights = place.desk.owed[b"r1"].flights
-            await until(lambda: flights[1].accepted, "its 202")
-            await place.tell("returned")
-            await until(lambda: len(executor.seen) == 3, "the third forward")
+        async with NodeHarness(
+            executor.row(), other, discovery=discovery, operations=[keyed_operation]
+        ) as harness:
+            harness.desk.dispatcher.fleet.all["s-2"].shut = 2**62  # what is queued waits for it
+            client = BlockingClient(harness.address).send_request()
+            await until(lambda: executor.received and discovery.polls, "the attempt")
+            discovery.answer(2, executor.row(status="Gone"))
+            await until(lambda: not harness.endpoint().is_listed, "the list")
+            executor.writers[0].close()
+            await until(lambda: "s-1" not in harness.pool.endpoints, "the sweep")
+            executor.respond = lambda line, headers: b"HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n"
+            discovery.answer(3, executor.row(since_ms=7))
+            await until(lambda: len(executor.received) == 2, "the second attempt")
+            attempts = harness.desk.owed[b"r1"].flights
+            await until(lambda: attempts[1].accepted, "its 202")
+            await harness.call_back("returned")
+            await until(lambda: len(executor.received) == 3, "the third attempt")
             deleted = executor.deleted[:]
-            await place.ended(client)
-        for server in (executor, agent):
+            await harness.finish(client)
+        for server in (executor, discovery):
             server.server.close()
         return deleted
 
     assert asyncio.run(story()) == [b"r1"]
 
 
-def test_a_delete_for_which_there_is_no_line_is_tried_again_before_the_module_hears():
-    # It heard of the cancel at once: the next forward was there beside one that nobody had given up.
+def test_a_cancel_for_which_there_is_no_connection_is_tried_again_before_the_policy_is_told():
+    """An attempt is to be cancelled while no connection to its executor can be had.
+
+    The policy was told of the cancel at once, and the next attempt began beside one that nobody had given up.
+    """
+
     async def story():
-        executor = await Executor().start()
-        async with Place(executor.row()) as place:
-            client, pool = Client(place.address).hand_in(), place.pool
-            await until(lambda: executor.seen and place.desk.owed[b"r1"].flights[0].accepted, "the 202")
-            executor.lines[0].close()
-            await until(lambda: not pool.connections, "no line")
-            flight, asked, room = place.desk.owed[b"r1"].flights[0], [], pool.ensure_capacity
-            pool.ensure_capacity = lambda: asked.append(1)
-            place.desk.probe_wait = 300
-            place.desk.do(place.turn.clock(), ("cancel", b"r1", 0))
-            await until(lambda: len(asked) > 2, "three tries")
-            assert not flight.done and not executor.deleted
-            pool.ensure_capacity = room
-            await until(lambda: flight.done, "that it is given up")
+        executor = await ExecutorEmulator().start()
+        async with NodeHarness(executor.row()) as harness:
+            client = BlockingClient(harness.address).send_request()
+            pool = harness.pool
+            await until(lambda: executor.received and harness.desk.owed[b"r1"].flights[0].accepted, "the 202")
+            executor.writers[0].close()
+            await until(lambda: not pool.connections, "no connection")
+            attempt = harness.desk.owed[b"r1"].flights[0]
+            tries = []
+            ensure_capacity = pool.ensure_capacity
+            pool.ensure_capacity = lambda: tries.append(1)
+            harness.desk.probe_wait = 300
+            harness.desk.do(harness.turn.clock(), ("cancel", b"r1", 0))
+            await until(lambda: len(tries) > 2, "three tries")
+            assert not attempt.done and not executor.deleted
+            pool.ensure_capacity = ensure_capacity
+            await until(lambda: attempt.done, "that it is given up")
             assert executor.deleted == [b"r1"]
-            await client.answer()
+            await client.response()
             client.leave()
         executor.server.close()
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,367 +1,234 @@
-"""Clients that have gone: no forward, first or further, begins more than 0.1 s after its client's close.
+"""Clients that have gone: no attempt, first or retry, begins more than 0.1 s after its client's close.
 
-Each scene holds invocations in one place, lets their clients go in one instant, and counts the forwards that
-the node begins to write later and that reach an executor. Executors are threads: the loop stands still.
+Each scene keeps requests waiting in one step, lets their clients leave in one instant, and counts the
+attempts that the node begins to write later and that reach an executor.
 """
 
 import asyncio
-import socket
 import threading
 import time
 
 import pytest
-from crossing import ROW, TERMS, Client, Executor, Place, until
+from departure_scene import GRACE, PAST_GRACE, DepartureScene
+from node_harness import ACCEPTED, BlockingClient, until
 
 from grebedyke.rate_limits.definitions import Limit, LimitKind
 from grebedyke.rate_limits.lease_terms import LeaseTerms
 from grebedyke.rate_limits.request_limiter import RequestLimiter
 from grebedyke.wire import words
-from grebedyke.wire.executor_connection import ExecutorConnection
-
-LATE, PAST = 0.1, 0.16
-ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
-RETURNED = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-WAIT = 20_000  # plenty, also for a machine that is busy
-OPERATION = {
-    **TERMS["operations"][0],
-    "idempotency": "safe",
-    "latencyObjectiveMs": WAIT,
-    "clientTimeoutMs": WAIT,
-}
-LIMITS = {**TERMS["limits"], "maxForwards": 60}
-MANY = 100
-
 
-class Recorder:
-    """One address behind any number of executors' names; `came`: the ids of the forwards that reached it."""
+REJECTED = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+REJECTED_AND_CLOSED = REJECTED[:-2] + b"Connection: close\r\n\r\n"
+CLIENTS = 100
 
-    def __init__(self):
-        self.came, self.answer, self.deletes, self.may_end = [], lambda id: ACCEPTED, [], threading.Event()
-        self.may_end.set()
-        self.server = socket.create_server(("127.0.0.1", 0), backlog=1024)
-        self.address = "127.0.0.1:%d" % self.server.getsockname()[1]
-        threading.Thread(target=self.accept, daemon=True).start()
 
-    def rows(self, number, **more):
-        return [{**ROW, "name": f"s-{i}", "address": self.address, **more} for i in range(1, number + 1)]
-
-    def accept(self):
-        while True:
-            try:
-                sock, _ = self.server.accept()
-            except OSError:
-                return
-            threading.Thread(target=self.talk, args=(sock,), daemon=True).start()
-
-    def talk(self, sock):
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        data = b""
-        with sock:
-            try:
-                while data or (data := sock.recv(65_536)):
-                    data = self.one(sock, data)
-            except OSError:
-                pass
-
-    def one(self, sock, data):
-        while b"\r\n\r\n" not in data:
-            data += self.more(sock)
-        head, _, data = data.partition(b"\r\n\r\n")
-        line, *rows = head.split(b"\r\n")
-        said = dict(row.lower().split(b": ", 1) for row in rows)
-        length = int(said.get(b"content-length", 0))
-        if line.startswith(b"DELETE"):
-            self.deletes.append(line.split()[1].rpartition(b"/")[2])
-            self.may_end.wait(20)
-            sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        else:
-            self.came.append(said[b"x-request-id"])
-            while len(data) < length:
-                data += self.more(sock)
-            answer = self.answer(said[b"x-request-id"])
-            if answer is None:
-                raise OSError("its connection ends without an answer")
-            sock.sendall(answer)
-        return data[length:]
-
-    @staticmethod
-    def more(sock):
-        data = sock.recv(65_536)
-        if not data:
-            raise OSError("ended in a message")
-        return data
-
-
-class Scene:
-    """A place with its executors; `gone`: id and the moment at which its client had closed."""
-
-    def __init__(self, executors=1, gated=False, limits=(), **more):
-        self.recorder, self.gone = Recorder(), {}
-        rows = self.recorder.rows(executors)
-        self.place = Place(
-            *rows,
-            gate=[self.recorder.address] if gated else (),
-            operations=[OPERATION],
-            limits={**LIMITS, **dict(limits)},
-            **more,
-        )
-
-    async def __aenter__(self):
-        await self.place.__aenter__()
-        flush, self.wrote = ExecutorConnection.flush, []
-
-        def noted(line):
-            if line.out.used and line.call and line.call.carries_request:
-                id = line.call.head.partition(b"X-Request-ID: ")[2].split()[0]
-                self.wrote.append((id, time.monotonic()))
-            flush(line)
-
-        ExecutorConnection.flush, self.flush = noted, flush
-        self.dispatcher, self.owed = self.place.desk.dispatcher, self.place.desk.owed
-        return self
-
-    async def __aexit__(self, kind, *more):
-        self.recorder.may_end.set()
-        try:
-            return await self.place.__aexit__(kind, *more)
-        finally:
-            ExecutorConnection.flush = self.flush
-            self.recorder.server.close()
-
-    def clients(self, number, first=1):
-        ids = [b"r%d" % i for i in range(first, first + number)]
-        return {id: Client(self.place.address) for id in ids}
-
-    def hand_in(self, clients, body=b"abc"):
-        for id, client in clients.items():
-            client.hand_in(id.decode(), WAIT, body=body)
-
-    def leave(self, clients):
-        """Every second one by a reset."""
-        for id, client in clients.items():
-            client.leave(reset=len(self.gone) % 2 > 0)
-            self.gone[id] = time.monotonic()
-
-    async def past(self, more=0.0):
-        """Long enough after the last close that what begins from here on is a break."""
-        end = max(self.gone.values()) + PAST + more
-        await until(lambda: time.monotonic() > end)
-
-    def held(self):
-        return [inv.id for inv in self.dispatcher.held if inv.held]
-
-    async def ends(self, id, state="done"):
-        """Call-backs for whatever is out of this one."""
-        if id in self.owed:
-            for flight in [f for f in self.owed[id].flights if not f.done]:
-                await self.place.tell(state, id.decode(), flight.endpoint.name)
-
-    def no_stall(self):
-        """As in a busy loop, which marks in every pass: how long a close has lain there does not show."""
-        for _ in range(3):
-            self.place.turn.mark()
-
-    async def another(self, id=b"z1"):
-        """The node goes on; whatever was held before it has had its chance as well."""
-        client = Client(self.place.address).hand_in(id.decode(), WAIT)
-        answer = asyncio.create_task(client.answer())
-        while not answer.done():  # a forward that is given up meanwhile is followed by another
-            await until(lambda: answer.done() or id in self.recorder.came, "another's forward")
-            await self.ends(id)
-            await asyncio.sleep(0.01)
-        assert b" 200 " in await answer
-        client.leave()
-
-    async def finish(self):
-        """What began in time ends by its executor, so that nothing is left over."""
-        await self.another()
-        for id in list(self.owed):
-            await self.ends(id)
-        return self.breaks()
-
-    def breaks(self):
-        """By when the node wrote it: an executor's thread may look later."""
-        return [
-            (id, round(at - self.gone[id], 3))
-            for id, at in self.wrote
-            if id in self.gone and at > self.gone[id] + LATE and id in self.recorder.came
-        ]
-
-
-async def connects(number):
-    async with Scene(number, gated=True) as scene:
-        clients = scene.clients(number)
-        scene.hand_in(clients)
-        await until(lambda: scene.place.gate.up == number, "the connects")
+async def connecting(count):
+    """The requests wait for connections to their executors."""
+    async with DepartureScene(count, gated=True) as scene:
+        clients = scene.clients(count)
+        scene.send_requests(clients)
+        await until(lambda: scene.harness.gate.waiting == count, "the connects")
         scene.leave(clients)
-        await scene.past()
-        scene.place.gate.open.set()
+        await scene.until_past_grace()
+        scene.harness.gate.opened.set()
         return await scene.finish()
 
 
-async def is_held(number):
-    """For want of credit: the one executor has work."""
-    async with Scene() as scene:
-        first, clients = scene.clients(1, 0), scene.clients(number)
-        for e in scene.dispatcher.fleet.all.values():
-            e.credit = 1.0
-        scene.hand_in(first)
-        await until(lambda: b"r0" in scene.recorder.came, "the work")
-        scene.hand_in(clients)
-        await until(lambda: len(scene.held()) == number, "that they are held")
+async def queued(count):
+    """The requests wait for credit: the one executor has work."""
+    async with DepartureScene() as scene:
+        first = scene.clients(1, 0)
+        clients = scene.clients(count)
+        for endpoint in scene.endpoints():
+            endpoint.credit = 1.0
+        scene.send_requests(first)
+        await until(lambda: b"r0" in scene.recorder.received, "the work")
+        scene.send_requests(clients)
+        await until(lambda: len(scene.queued()) == count, "that they are queued")
         scene.leave(clients)
-        await scene.past()
-        await scene.ends(b"r0")
+        await scene.until_past_grace()
+        await scene.finish_request(b"r0")
         first[b"r0"].leave()
         return await scene.finish()
 
 
-async def waits_for_a_lender(number):
-    async with Scene(number, limits={"peerMessages": True}, balancers=2) as scene:
-        asks, fleet = {}, scene.dispatcher.fleet
-        scene.place.desk.peers.send = lambda to, body: asks.update(
-            {words.unpack(body)[1]: words.unpack(body)} if words.unpack(body)[0] == "ask" else {}
-        )
-        fleet.keeper = lambda group, now, silent=False: 1
-        clients = scene.clients(number)
-        scene.hand_in(clients)
-        await until(lambda: len(asks) == number and len(scene.held()) == number, "the asks")
+async def waiting_for_a_slot_grant(count):
+    """The requests wait for another node's answer to their slot requests."""
+    async with DepartureScene(count, limits={"peerMessages": True}, balancers=2) as scene:
+        slot_requests = {}
+        desk = scene.harness.desk
+        endpoint_table = scene.dispatcher.fleet
+
+        def record_slot_request(receiver, body):
+            kind, number, *_ = words.unpack(body)
+            if kind == "ask":
+                slot_requests[number] = words.unpack(body)
+
+        desk.peers.send = record_slot_request
+        endpoint_table.keeper = lambda group, now, silent=False: 1
+        clients = scene.clients(count)
+        scene.send_requests(clients)
+        await until(lambda: len(slot_requests) == count and len(scene.queued()) == count, "the slot requests")
         scene.leave(clients)
-        await scene.past()
-        for number, ask in asks.items():
-            scene.place.turn.put(scene.place.desk.heard, 1, words.pack("lend", number, ask[2]))
-        await until(lambda: not scene.place.turn.inbox)
-        fleet.keeper = lambda group, now, silent=False: 0
+        await scene.until_past_grace()
+        for number, slot_request in slot_requests.items():
+            scene.harness.turn.put(desk.heard, 1, words.pack("lend", number, slot_request[2]))
+        await until(lambda: not scene.harness.turn.inbox)
+        endpoint_table.keeper = lambda group, now, silent=False: 0
         return await scene.finish()
 
 
-def further(answer, connect=5000):
-    """Held after a first forward that ended in a way which allows another."""
+def queued_for_a_retry(response, connect_timeout_ms=5000):
+    """Gives the scene of requests that are queued after a first attempt which allows a retry."""
 
-    async def scene_of(number):
-        async with Scene(max(number, 2), limits={"connectTimeoutMs": connect}) as scene:
-            scene.recorder.answer = lambda id: answer
-            clients, executors = scene.clients(number), scene.dispatcher.fleet.all.values()
-            scene.hand_in(clients)
-            owed = scene.owed
+    async def scene_of(count):
+        limits = {"connectTimeoutMs": connect_timeout_ms}
+        async with DepartureScene(max(count, 2), limits=limits) as scene:
+            scene.recorder.respond = lambda request_id: response
+            clients = scene.clients(count)
+            scene.send_requests(clients)
+            open_requests = scene.open_requests
             await until(
-                lambda: len(owed) == number and all(one.flights for one in owed.values()),
-                "the first forwards",
+                lambda: len(open_requests) == count and all(one.flights for one in open_requests.values()),
+                "the first attempts",
             )
-            for e in executors:
-                e.shut = 1 << 60
+            scene.eject_all()
             await until(
-                lambda: len([i for i in scene.dispatcher.held if i.held and i.forwards]) == number,
-                "that they are held again",
+                lambda: len([request for request in scene.queued() if request.forwards]) == count,
+                "that they are queued again",
             )
-            scene.recorder.answer = lambda id: ACCEPTED
+            scene.recorder.respond = lambda request_id: ACCEPTED
             scene.leave(clients)
-            await scene.past()
-            for e in executors:
-                e.shut = 0
-                e.full.clear()
+            await scene.until_past_grace()
+            scene.readmit_all()
+            for endpoint in scene.endpoints():
+                endpoint.full.clear()
             return await scene.finish()
 
     return scene_of
 
 
-async def further_connects(number):
-    """Its further forward waits for a connection: the first was turned away."""
-    async with Scene(2 * number) as scene:
-        # Each forward needs a connection: so many come up and are turned away, the others wait.
-        scene.recorder.answer = lambda id: RETURNED[:-2] + b"Connection: close\r\n\r\n"
-        loop, opened, begun, up = asyncio.get_running_loop(), asyncio.Event(), [], []
-        real = loop.create_connection
-
-        async def connect(make, *where, **more):
-            begun.append(where)
-            waits = len(begun) > number
-            made = await real(make, *where, **more)
-            if waits:
-                up.append(made)
-                try:
-                    await opened.wait()
-                except asyncio.CancelledError:
-                    made[0].abort()  # as asyncio does with a connect that is cancelled
-                    raise
-            return made
+def hold_connects_after(loop, count):
+    """Lets so many connects come up, and holds each further one; returns those held and what lets them go."""
+    create_connection = loop.create_connection
+    opened = asyncio.Event()
+    begun = []
+    held = []
 
-        loop.create_connection = connect
-        clients = scene.clients(number)
-        scene.hand_in(clients)
-        await until(lambda: len(up) >= number, "the further connects")
-        assert any(len(owed.flights) > 1 for owed in scene.owed.values())
-        scene.recorder.answer = lambda id: ACCEPTED
+    async def connect(factory, *address, **more):
+        begun.append(address)
+        is_held = len(begun) > count
+        transport, protocol = await create_connection(factory, *address, **more)
+        if is_held:
+            held.append(protocol)
+            try:
+                await opened.wait()
+            except asyncio.CancelledError:
+                transport.abort()  # as asyncio does with a connect that is cancelled
+                raise
+        return transport, protocol
+
+    loop.create_connection = connect
+    return held, opened
+
+
+async def connecting_for_a_retry(count):
+    """The requests were rejected once, and wait for connections for a retry."""
+    async with DepartureScene(2 * count) as scene:
+        # Each attempt needs a connection: so many come up and are rejected, the others wait.
+        scene.recorder.respond = lambda request_id: REJECTED_AND_CLOSED
+        loop = asyncio.get_running_loop()
+        held, opened = hold_connects_after(loop, count)
+        clients = scene.clients(count)
+        scene.send_requests(clients)
+        await until(lambda: len(held) >= count, "the connects for retries")
+        assert any(len(each.flights) > 1 for each in scene.open_requests.values())
+        scene.recorder.respond = lambda request_id: ACCEPTED
         scene.leave(clients)
-        await scene.past()
+        await scene.until_past_grace()
         opened.set()
         result = await scene.finish()
         del loop.create_connection
         return result
 
 
-CUTS = {"limits": {"mayCancel": True}, "familyInfo": {"tellsStart": True}}
-
-
-def cut(during):
-    async def scene_of(number):
-        async with Scene(2 * number + 2, **CUTS) as scene:
-            d, recorder = scene.dispatcher, scene.recorder
-            d.cutoffs.best, d.cutoffs.freed, d.cutoffs.at = [500], 9, 1 << 60
-            d.fleet.lay(0.5)
-            recorder.may_end.clear()
-            clients = scene.clients(number)
-            scene.hand_in(clients)
-            await until(lambda: len(recorder.came) == number, "the forwards")
-            for id in clients:
-                await scene.ends(id, "started")
-            await until(lambda: len(recorder.deletes) == number, "the cuts")
-            if during == "held":
-                for e in d.fleet.all.values():
-                    e.shut = scene.place.turn.clock() + 4_000
-                recorder.may_end.set()
-                await until(lambda: len([i for i in d.held if i.held and i.tier]) == number, "tier one")
+CUTOFF_SETTINGS = {"limits": {"mayCancel": True}, "familyInfo": {"tellsStart": True}}
+
+
+def reaching_the_cutoff(step):
+    """Gives the scene of requests that reach their tier's cutoff: being cancelled, or queued one tier up."""
+
+    async def scene_of(count):
+        async with DepartureScene(2 * count + 2, **CUTOFF_SETTINGS) as scene:
+            recorder = scene.recorder
+            cutoffs = scene.dispatcher.cutoffs
+            cutoffs.best = [500]
+            cutoffs.freed = 9
+            cutoffs.at = 1 << 60
+            scene.dispatcher.fleet.lay(0.5)
+            recorder.may_confirm.clear()
+            clients = scene.clients(count)
+            scene.send_requests(clients)
+            await until(lambda: len(recorder.received) == count, "the attempts")
+            for request_id in clients:
+                await scene.finish_request(request_id, "started")
+            await until(lambda: len(recorder.deletes) == count, "the cancels")
+            if step == "queued":
+                for endpoint in scene.endpoints():
+                    endpoint.shut = scene.harness.turn.clock() + 4_000
+                recorder.may_confirm.set()
+                await until(
+                    lambda: len([request for request in scene.queued() if request.tier]) == count, "tier one"
+                )
             scene.leave(clients)
-            await scene.past()
-            recorder.may_end.set()
-            d.cutoffs.best = None
+            await scene.until_past_grace()
+            recorder.may_confirm.set()
+            cutoffs.best = None
             return await scene.finish()
 
     return scene_of
 
 
-async def waits_for_a_slot(number):
-    """What is over a limit is answered at once and never held: a place that this program does not have."""
-    async with Scene(2) as scene:
+async def over_a_limit(count):
+    """The requests are over a limit: they are answered at once, since this program queues nothing there."""
+    async with DepartureScene(2) as scene:
+        clock = scene.harness.turn.clock
         limit = Limit("l", LimitKind.CONCURRENCY, 1, 0, 0, None, None, False)
         terms = LeaseTerms(node_count=1, lease=1_000_000, clock_drift=0.02, run_on=500)
-        limiter = RequestLimiter([limit], terms, scene.place.turn.clock())
-        limiter.meters[limit.wire_id].receive_share(scene.place.turn.clock(), 1, 1 << 60)
+        limiter = RequestLimiter([limit], terms, clock())
+        limiter.meters[limit.wire_id].receive_share(clock(), 1, 1 << 60)
         scene.dispatcher.shares.limits = limiter
-        first, clients = scene.clients(1, 0), scene.clients(number)
-        scene.hand_in(first)
-        await until(lambda: b"r0" in scene.recorder.came)
-        scene.hand_in(clients)
-        await until(lambda: scene.place.turn.gauges.counts["throttled"] == number, "the answers")
-        assert not scene.held()
+        first = scene.clients(1, 0)
+        clients = scene.clients(count)
+        scene.send_requests(first)
+        await until(lambda: b"r0" in scene.recorder.received)
+        scene.send_requests(clients)
+        await until(lambda: scene.harness.turn.gauges.counts["throttled"] == count, "the responses")
+        assert not scene.queued()
         scene.leave(clients)
-        await scene.past()
-        await scene.ends(b"r0")
+        await scene.until_past_grace()
+        await scene.finish_request(b"r0")
         first[b"r0"].leave()
         await until(lambda: not limiter.acquired_slots)
         return await scene.finish()
 
 
-def stall(kept, behind=b""):
-    """They come and go while the loop stands still."""
+def sent_during_a_stall(kept, behind=b""):
+    """Gives the scene of clients that come and go while the event loop stands still.
 
-    async def scene_of(number):
-        async with Scene(number) as scene:
-            await scene.another(b"z0")
-            clients = scene.clients(number if kept else 0)
-            await until(lambda: len(scene.place.door.connections.accepted) >= len(clients), "the connections")
-            clients = clients or scene.clients(number)
-            scene.hand_in(clients)
+    Args:
+        kept: Whether their connections were there before.
+        behind: What they write behind their requests.
+    """
+
+    async def scene_of(count):
+        async with DepartureScene(count) as scene:
+            await scene.serve_another(b"z0")
+            clients = scene.clients(count if kept else 0)
+            accepted = scene.harness.door.connections.accepted
+            await until(lambda: len(accepted) >= len(clients), "the connections")
+            clients = clients or scene.clients(count)
+            scene.send_requests(clients)
             for client in clients.values():
                 client.socket.sendall(behind)
             scene.leave(clients)
@@ -371,274 +238,163 @@
     return scene_of
 
 
-async def stall_while_it_connects(number):
-    """The close and the connection's coming up lie in the kernel when the loop goes on."""
-    async with Scene(number) as scene:
-        loop, real, up = asyncio.get_running_loop(), None, []
-        real, clients = loop.create_connection, scene.clients(number)
+async def connected_during_a_stall(count):
+    """The close and the connection's coming up lie in the kernel when the event loop goes on."""
+    async with DepartureScene(count) as scene:
+        loop = asyncio.get_running_loop()
+        create_connection = loop.create_connection
+        clients = scene.clients(count)
+        begun = []
 
         async def connect(*what, **more):
-            up.append(1)
-            if len(up) == number:
+            begun.append(1)
+            if len(begun) == count:
                 scene.leave(clients)
                 time.sleep(0.3)  # the stall itself
-            return await real(*what, **more)
+            return await create_connection(*what, **more)
 
         loop.create_connection = connect
-        scene.hand_in(clients)
-        await until(lambda: len(scene.gone) == number, "the last connect")
+        scene.send_requests(clients)
+        await until(lambda: len(scene.left_at) == count, "the last connect")
         del loop.create_connection
         return await scene.finish()
 
 
-async def backlog(number):
+async def in_the_backlog(count):
     """Not accepted for a while, as where descriptors are short: read and seen to leave only then."""
-    async with Scene(number) as scene:
-        await scene.another(b"z0")
-        loop, door = asyncio.get_running_loop(), scene.place.door
-        loop.remove_reader(door.server)
-        clients = scene.clients(number)
-        scene.hand_in(clients)
+    async with DepartureScene(count) as scene:
+        await scene.serve_another(b"z0")
+        loop = asyncio.get_running_loop()
+        listener = scene.harness.door
+        loop.remove_reader(listener.server)
+        clients = scene.clients(count)
+        scene.send_requests(clients)
         scene.leave(clients)
-        await scene.past()
-        assert not scene.place.turn.gauges.counts["taken"] - 1
-        scene.no_stall()
-        loop.add_reader(door.server, door.accept)
+        await scene.until_past_grace()
+        assert not scene.harness.turn.gauges.counts["taken"] - 1
+        scene.hide_stall()
+        loop.add_reader(listener.server, listener.accept)
         return await scene.finish()
 
 
-def long_turns(*lengths):
-    """A turn of such a length, and of the next as well; the clients leave when the last of them begins."""
+def in_long_batches(*lengths):
+    """Gives the scene of long batches in a row; the clients leave when the last of them begins."""
 
-    async def scene_of(number):
-        async with Scene(number + 3) as scene:
-            await scene.another(b"z0")
-            desk, clients, others, turns = scene.place.desk, scene.clients(number), [], list(lengths)
+    async def scene_of(count):
+        async with DepartureScene(count + 3) as scene:
+            await scene.serve_another(b"z0")
+            desk = scene.harness.desk
             forward = desk.deeds["forward"]
+            clients = scene.clients(count)
+            others = []
+            lengths_left = list(lengths)
 
-            def slow(now, *what):
+            def forward_slowly(now, *what):
                 forward(now, *what)
-                if what[0] in (b"r%d" % number, b"y1", b"y2") and turns:
-                    length = turns.pop(0)
-                    if not turns:
+                if what[0] in (b"r%d" % count, b"y1", b"y2") and lengths_left:
+                    length = lengths_left.pop(0)
+                    if not lengths_left:
                         scene.leave(clients)
                     time.sleep(length)
-                    if turns:
-                        others.append(Client(scene.place.address).hand_in("y%d" % (len(others) + 1)))
-
-            desk.deeds["forward"] = slow
-            await until(lambda: len(scene.place.door.connections.accepted) >= number)
-            scene.hand_in(clients)
-            await until(lambda: not turns, "the turns")
-            for i, other in enumerate(others, 1):
-                await until(lambda: b"y%d" % i in scene.recorder.came, "theirs")
-                await scene.ends(b"y%d" % i)
-                assert b" 200 " in await other.answer()
+                    if lengths_left:
+                        other = BlockingClient(scene.harness.address)
+                        others.append(other.send_request("y%d" % (len(others) + 1)))
+
+            desk.deeds["forward"] = forward_slowly
+            await until(lambda: len(scene.harness.door.connections.accepted) >= count)
+            scene.send_requests(clients)
+            await until(lambda: not lengths_left, "the batches")
+            for number, other in enumerate(others, 1):
+                await until(lambda number=number: b"y%d" % number in scene.recorder.received, "theirs")
+                await scene.finish_request(b"y%d" % number)
+                assert b" 200 " in await other.response()
                 other.leave()
             return await scene.finish()
 
     return scene_of
 
 
-async def two_halves(number):
-    """A pass of the loop of 70 ms, then a turn of 70 ms: neither is a stall, together they are too long."""
-    number = min(number, 2)  # who hands a hundred in makes a stall of that
-    async with Scene(number) as scene:
-        await scene.another(b"z0")
-        desk, clients, done = scene.place.desk, scene.clients(number), []
+async def between_two_halves(count):
+    """A pass of the event loop of 70 ms, then a batch of 70 ms: neither is a stall, together they are too long."""
+    count = min(count, 2)  # a hundred that send their requests make a stall of that
+    async with DepartureScene(count) as scene:
+        await scene.serve_another(b"z0")
+        desk = scene.harness.desk
         forward = desk.deeds["forward"]
+        clients = scene.clients(count)
+        slowed = []
 
-        def slow(now, *what):
+        def forward_slowly(now, *what):
             forward(now, *what)
-            if not done:
-                done.append(what)
+            if not slowed:
+                slowed.append(what)
                 time.sleep(0.07)
 
-        desk.deeds["forward"] = slow
-        await until(lambda: len(scene.place.door.connections.accepted) >= number)
-        scene.no_stall()
-        scene.hand_in(clients)
+        desk.deeds["forward"] = forward_slowly
+        await until(lambda: len(scene.harness.door.connections.accepted) >= count)
+        scene.hide_stall()
+        scene.send_requests(clients)
         scene.leave(clients)
         time.sleep(0.07)
-        await until(lambda: done or scene.place.turn.gauges.counts["left"] >= number)
+        await until(lambda: slowed or scene.harness.turn.gauges.counts["left"] >= count)
         return await scene.finish()
 
 
-def behind(size):
-    """It has written on behind its invocation, as much as the kernel takes, and closed."""
+def behind_what_they_wrote(size):
+    """Gives the scene of clients that write on behind their requests and close."""
 
-    async def scene_of(number):
-        number = min(number, 4)
-        async with Scene(number, gated=True) as scene:
-            clients, threads = scene.clients(number), []
-            scene.hand_in(clients)
-            await until(lambda: scene.place.gate.up == number, "the connects")
+    async def scene_of(count):
+        count = min(count, 4)
+        async with DepartureScene(count, gated=True) as scene:
+            clients = scene.clients(count)
+            scene.send_requests(clients)
+            await until(lambda: scene.harness.gate.waiting == count, "the connects")
 
-            def write(id, client):
+            def write_and_leave(request_id, client):
                 client.socket.sendall(b"x" * size)
-                scene.leave({id: client})
+                scene.leave({request_id: client})
 
-            for pair in clients.items():
-                threads.append(threading.Thread(target=write, args=pair))
-                threads[-1].start()
+            threads = [threading.Thread(target=write_and_leave, args=pair) for pair in clients.items()]
+            for thread in threads:
+                thread.start()
             await until(lambda: not any(thread.is_alive() for thread in threads), "what they write")
-            await scene.past(-PAST + LATE)
-            scene.place.gate.open.set()
+            await scene.until_past_grace(-PAST_GRACE + GRACE)
+            scene.harness.gate.opened.set()
             return await scene.finish()
 
     return scene_of
 
 
-PLACES = {
-    "connects": connects,
-    "is held": is_held,
-    "waits for a lender": waits_for_a_lender,
-    "never ran": further(RETURNED),
-    "reset": further(None),
-    "silent": further(b"", 300),
-    "further connects": further_connects,
-    "being cut": cut("delete"),
-    "cut, held": cut("held"),
-    "waits for a slot": waits_for_a_slot,
-    "stall, kept": stall(True),
-    "stall, new": stall(False),
-    "stall, more behind": stall(True, b"x" * 100_000),
-    "stall, new, more behind": stall(False, b"x" * 100_000),
-    "stall while it connects": stall_while_it_connects,
-    "backlog": backlog,
-    "long turn": long_turns(0.3),
-    "two long turns": long_turns(0.3, 0.3),
-    "two halves": two_halves,
-    "0.1 MB behind": behind(100_000),
-    "3 MB behind": behind(3_000_000),
+SCENES = {
+    "connects": connecting,
+    "queued": queued,
+    "waits for a slot grant": waiting_for_a_slot_grant,
+    "never ran": queued_for_a_retry(REJECTED),
+    "reset": queued_for_a_retry(None),
+    "silent": queued_for_a_retry(b"", 300),
+    "connects for a retry": connecting_for_a_retry,
+    "being cancelled": reaching_the_cutoff("cancelled"),
+    "cancelled, queued": reaching_the_cutoff("queued"),
+    "over a limit": over_a_limit,
+    "stall, kept": sent_during_a_stall(True),
+    "stall, new": sent_during_a_stall(False),
+    "stall, more behind": sent_during_a_stall(True, b"x" * 100_000),
+    "stall, new, more behind": sent_during_a_stall(False, b"x" * 100_000),
+    "stall while it connects": connected_during_a_stall,
+    "backlog": in_the_backlog,
+    "long batch": in_long_batches(0.3),
+    "two long batches": in_long_batches(0.3, 0.3),
+    "two halves": between_two_halves,
+    "0.1 MB behind": behind_what_they_wrote(100_000),
+    "3 MB behind": behind_what_they_wrote(3_000_000),
 }
 
 
-@pytest.mark.parametrize("where", PLACES)
-def test_no_forward_begins_after_its_client_has_gone(where):
-    assert asyncio.run(PLACES[where](MANY)) == []
-
+@pytest.mark.parametrize("where", SCENES)
+def test_no_attempt_begins_after_its_client_has_gone(where):
+    """All clients leave in one instant, while their requests wait in one step of the node.
 
-# Bytes that arrive in the very moment in which the node ends or closes a connection.
-
-
-def test_small_writes_are_held_back_on_no_kind_of_connection():
-    async def story():
-        executor = await Executor().start()
-        async with Place(executor.row()) as place:
-            await place.serves_another(executor)
-            client = Client(place.address).hand_in("r3")
-            await until(lambda: b"r3" in executor.seen, "the forward")
-            held = {
-                type(one).__name__: one.transport.get_extra_info("socket").getsockopt(
-                    socket.IPPROTO_TCP, socket.TCP_NODELAY
-                )
-                for one in (*place.door.connections.accepted, *place.pool.connections)
-            }
-            await place.ended(client, "r3")
-        executor.server.close()
-        return held
-
-    held = asyncio.run(story())
-    assert set(held) == {"ClientConnection", "ExecutorConnection"} and all(held.values()), held
-
-
-@pytest.mark.parametrize("ends", ("close", "shutdown"))
-def test_a_last_answer_is_whole_and_what_comes_with_its_end_is_not_taken(ends):
-    # The client writes on when the second of two answers goes: the close is one over unread bytes.
-    async def story():
-        executor = await Executor().start()
-        async with Place(executor.row()) as place:
-            client = Client(place.address)
-            head = Client.head("r1", 3)
-            if ends == "close":
-                head = head[:-2] + b"Connection: close\r\n\r\n"
-            client.socket.sendall(b"GET /up HTTP/1.1\r\n\r\n" + head + b"abc")
-            await until(lambda: executor.seen, "the forward")
-            inside = next(one for one in place.door.connections.accepted if one.open_request)
-            if ends == "shutdown":
-                client.socket.sendall(b"x" * 9_000)
-                await until(lambda: inside.overflowed, "what stands behind")
-            flush, crossed = inside.flush, []
-
-            def crossing():
-                if inside.closes_when_flushed and not crossed:
-                    crossed.append(client.socket.sendall(Client.head("r2", 3) + b"abc"))
-                flush()
-
-            inside.flush = crossing
-            await place.tell("done", more=',"result":"all of it"')
-            data = b""
-            while b"all of it" not in data and (part := await client.answer()):
-                data += part
-            client.leave()
-            await place.settled()
-            assert crossed
-        executor.server.close()
-        return data, executor.seen
-
-    data, seen = asyncio.run(story())
-    assert data.endswith(b"all of it") and seen == [b"r1"]
-
-
-def test_what_crosses_the_close_of_a_resting_connection_is_not_taken():
-    async def story():
-        executor = await Executor().start()
-        async with Place(executor.row()) as place:
-            client = Client(place.address).hand_in("r1")
-            await until(lambda: executor.seen, "the forward")
-            await place.tell("done")
-            assert b" 200 " in await client.answer()
-            client.socket.setblocking(True)
-            client.hand_in("r2")  # with the kernel, and not read
-            place.door.close_idle()
-            await until(lambda: not place.door.connections.accepted, "the close")
-            client.leave()
-        executor.server.close()
-        return executor.seen
-
-    assert asyncio.run(story()) == [b"r1"]
-
-
-@pytest.mark.parametrize("part", (b"HTTP/1.1 2", b"\r", b"HTTP/1.1 202 Accepted\r\nContent-Le"))
-def test_half_a_line_on_a_resting_connection_is_not_taken_for_the_next_answers_begin(part):
-    async def story():
-        executor = await Executor().start()
-        async with Place(executor.row()) as place:
-            await place.serves_another(executor, "r1")
-            await until(lambda: place.endpoint().idle, "a line at rest")
-            line = place.endpoint().idle[0]
-            executor.lines[0].write(part)
-            await until(lambda: line.ring.used or line.transport.is_closing(), "half a line")
-            await place.serves_another(executor)
-        executor.server.close()
-        return executor.seen
-
-    assert asyncio.run(story()) == [b"r1", b"r2"]
-
-
-@pytest.mark.parametrize("half", (False, True))
-def test_of_what_was_sent_at_once_nothing_is_taken_after_the_clients_end(half):
-    # A client that only ends its own side has left as well: TCP does not tell the two apart.
-    async def story():
-        async with Scene() as scene:
-            client = scene.clients(1)[b"r1"]
-            client.socket.sendall(b"".join(Client.head(id, 3) + b"abc" for id in ("r1", "r2", "r3")))
-            await until(lambda: b"r1" in scene.recorder.came, "the first forward")
-            for e in scene.dispatcher.fleet.all.values():
-                e.shut = 1 << 60
-            await scene.ends(b"r1")
-            await until(lambda: scene.held() == [b"r2"], "that the second is held")
-            first = await client.answer()
-            if half:
-                client.socket.shutdown(socket.SHUT_WR)
-                assert await client.answer() == b""
-            client.leave()
-            await until(lambda: not scene.owed, "that the client has left")
-            for e in scene.dispatcher.fleet.all.values():
-                e.shut = 0
-            await scene.another()
-            return first, scene.recorder.came
-
-    first, came = asyncio.run(story())
-    assert b" 200 " in first and came == [b"r1", b"z1"]
+    Nobody wants the results any more, and an attempt that begins now may have an effect that the client does
+    not know of: none may begin later than 0.1 s after its client's close.
+    """
+    assert asyncio.run(SCENES[where](CLIENTS)) == []
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -1,213 +1,256 @@
-"""A client that leaves while its invocation waits: it is not sent on any more, wherever it waits."""
+"""A client that leaves while its request waits: it is not sent to an executor any more, wherever it waits."""
 
 import asyncio
 import socket
 import time
 
 import pytest
-from crossing import Client, Executor, Place, until
+from node_harness import SMALL_BUFFER, BlockingClient, ExecutorEmulator, NodeHarness, until
 
 
-def gone(place, id=b"r1"):
-    """The node knows that this one's client has left."""
-    owed = place.desk.owed.get(id)
-    return owed is None or owed.client is None
+def has_left(harness, request_id=b"r1"):
+    """Returns whether the node knows that this request's client has left."""
+    open_request = harness.desk.owed.get(request_id)
+    return open_request is None or open_request.client is None
 
 
-async def one_before(place, executor):
-    """So that an idle line is there, which carries at once."""
-    await place.serves_another(executor, "r0")
-    await until(lambda: not place.door.connections.accepted, "its close")
+async def open_idle_connection(harness, executor):
+    """Serves one request, so that there is an idle connection which carries the next at once."""
+    await harness.serve_another(executor, "r0")
+    await until(lambda: not harness.door.connections.accepted, "its close")
 
 
-async def waits_for_its_line(place, client):
-    """Its forward is decided, and the connection for it is still coming up."""
-    await until(lambda: place.gate.up == 1, "the connect")
+async def until_connecting(harness):
+    """Waits until the attempt is decided and the connection for it is still coming up."""
+    await until(lambda: harness.gate.waiting == 1, "the connect")
 
 
 @pytest.mark.parametrize("reset", (False, True))
 @pytest.mark.parametrize("stops", (False, True))
 def test_a_client_that_leaves_before_its_connection_is_up_is_not_sent_on(reset, stops):
-    # The bench of the operators counts what goes out 0.3 s after the client's close.
+    """A client leaves while the connection for its request comes up.
+
+    The operators' check counts what reaches an executor later than 0.3 s after the client's close.
+    """
+
     async def story():
-        executor = await Executor().start()
-        async with Place(executor.row(), gate=[executor.address]) as place:
-            client, other = Client(place.address).hand_in(), Client(place.address)
-            await waits_for_its_line(place, client)
+        executor = await ExecutorEmulator().start()
+        async with NodeHarness(executor.row(), gated=[executor.address]) as harness:
+            client = BlockingClient(harness.address).send_request()
+            other = BlockingClient(harness.address)
+            await until_connecting(harness)
             if stops:
-                other.hand_in("r2")
-                await until(lambda: place.gate.up == 2, "the second connect")
-                place.node.stop()
+                other.send_request("r2")
+                await until(lambda: harness.gate.waiting == 2, "the second connect")
+                harness.node.stop()
             client.leave(reset)
-            await until(lambda: gone(place), "that the client has left")
-            place.gate.open.set()
+            await until(lambda: has_left(harness), "that the client has left")
+            harness.gate.opened.set()
             if not stops:
-                other.hand_in("r2")
-            await until(lambda: executor.seen, "the other's forward")
-            await place.tell("done", "r2")
-            assert b" 200 " in await other.answer()
+                other.send_request("r2")
+            await until(lambda: executor.received, "the other's attempt")
+            await harness.call_back("done", "r2")
+            assert b" 200 " in await other.response()
             other.leave()
         executor.server.close()
-        return executor.seen
+        return executor.received
 
     assert asyncio.run(story()) == [b"r2"]
 
 
-def test_what_stands_half_written_in_a_line_is_taken_back():
-    # The executor reads nothing: the kernel has a part of the body, so the last byte never comes.
+def test_what_is_half_written_to_a_connection_is_taken_back():
+    """A client leaves while the kernel has only a part of its request's body.
+
+    The executor reads nothing meanwhile; the last byte must never reach it.
+    """
+
     async def story():
-        executor = await Executor().start(narrow=True)
-        executor.reads.clear()
-        async with Place(executor.row(), gate=[executor.address]) as place:
-            place.gate.narrow = True
-            place.gate.open.set()
-            client = Client(place.address).hand_in(body=b"x" * 65_536)
-            await until(lambda: place.endpoint().connections, "a line")
-            line = next(iter(place.endpoint().connections))
-            await until(lambda: not line.fully_written, "a kernel that takes no more")
+        executor = await ExecutorEmulator().start(small_buffers=True)
+        executor.may_read.clear()
+        async with NodeHarness(executor.row(), gated=[executor.address]) as harness:
+            harness.gate.small_buffers = True
+            harness.gate.opened.set()
+            client = BlockingClient(harness.address).send_request(body=b"x" * 65_536)
+            await until(lambda: harness.endpoint().connections, "a connection")
+            connection = next(iter(harness.endpoint().connections))
+            await until(lambda: not connection.fully_written, "a kernel that takes no more")
             client.leave()
-            await until(lambda: gone(place), "that the client has left")
-            await until(lambda: not place.endpoint().connections, "the line's end")
-            executor.reads.set()
+            await until(lambda: has_left(harness), "that the client has left")
+            await until(lambda: not harness.endpoint().connections, "the connection's end")
+            executor.may_read.set()
         executor.server.close()
-        assert not executor.seen
+        assert not executor.received
 
     asyncio.run(story())
 
 
-def test_what_the_module_gave_up_is_not_sent_by_a_connection_that_comes_up():
-    async def story(how):
-        executor = await Executor().start()
-        async with Place(executor.row(), gate=[executor.address]) as place:
-            client = Client(place.address).hand_in()
-            await waits_for_its_line(place, client)
+@pytest.mark.parametrize("how, status", (("throttle", b"503"), ("overslept", b"500")))
+def test_what_the_policy_gave_up_is_not_sent_by_a_connection_that_comes_up(how, status):
+    """A request gets its final answer while the connection for its attempt comes up.
+
+    The connection must not send it once it is up: nobody waits for the result.
+    """
+
+    async def story():
+        executor = await ExecutorEmulator().start()
+        async with NodeHarness(executor.row(), gated=[executor.address]) as harness:
+            client = BlockingClient(harness.address).send_request()
+            await until_connecting(harness)
             if how == "throttle":
-                place.desk.do(place.turn.clock(), ("throttle", b"r1", 0))
-                place.desk.dispatcher.left(place.turn.clock(), b"r1")
+                harness.desk.do(harness.turn.clock(), ("throttle", b"r1", 0))
+                harness.desk.dispatcher.left(harness.turn.clock(), b"r1")
             else:
-                place.desk.overslept(place.turn.clock(), place.desk.owed[b"r1"])
-            place.turn.hurry()
-            answer = await client.answer()
-            place.gate.open.set()
+                harness.desk.overslept(harness.turn.clock(), harness.desk.owed[b"r1"])
+            harness.turn.hurry()
+            response = await client.response()
+            harness.gate.opened.set()
             client.leave()
-            await place.serves_another(executor)
+            await harness.serve_another(executor)
         executor.server.close()
-        return answer[9:12], executor.seen
+        return response[9:12], executor.received
+
+    assert asyncio.run(story()) == (status, [b"r2"])
+
 
-    assert asyncio.run(story("throttle")) == (b"503", [b"r2"])
-    assert asyncio.run(story("overslept")) == (b"500", [b"r2"])
+def test_a_client_that_writes_on_behind_its_request_is_noticed_when_it_leaves():
+    """A client writes on behind its open request, more than the node buffers, and leaves.
 
+    Reading paused until the response: the close stood unread behind what came before it, and the request was
+    sent to an executor.
+    """
 
-def test_who_writes_on_behind_its_invocation_is_seen_to_leave():
-    # Reading paused until the answer: the close stood unread behind what came before it.
     async def story(more, reset):
-        executor = await Executor().start()
-        async with Place(executor.row(), gate=[executor.address]) as place:
-            client = Client(place.address).hand_in()
-            await waits_for_its_line(place, client)
+        executor = await ExecutorEmulator().start()
+        async with NodeHarness(executor.row(), gated=[executor.address]) as harness:
+            client = BlockingClient(harness.address).send_request()
+            await until_connecting(harness)
             client.socket.settimeout(10)
             await asyncio.to_thread(client.socket.sendall, more)
             client.leave(reset)
-            await until(lambda: gone(place), "that the client has left")
-            place.gate.open.set()
-            await place.serves_another(executor)
+            await until(lambda: has_left(harness), "that the client has left")
+            harness.gate.opened.set()
+            await harness.serve_another(executor)
         executor.server.close()
-        return executor.seen
+        return executor.received
 
-    another = Client.head("r3", 3) + b"abc"
+    another = BlockingClient.request_head("r3", 3) + b"abc"
     for more in (another, another * 400, b"x" * 3_000_000):
         for reset in (False, True):
             assert asyncio.run(story(more, reset)) == [b"r2"], (len(more), reset)
 
 
-def test_who_writes_on_behind_its_invocation_and_stays_gets_its_answer_and_the_end():
+def test_a_client_that_writes_on_behind_its_request_and_stays_gets_its_response_and_the_end():
+    """A client writes on behind its open request, more than the node buffers, and waits.
+
+    What it wrote is thrown away, so that the connection cannot go on; the response must still be complete.
+    """
+
     async def story():
-        executor = await Executor().start()
-        async with Place(executor.row()) as place:
-            client = Client(place.address).hand_in()
-            await until(lambda: executor.seen, "the forward")
+        executor = await ExecutorEmulator().start()
+        async with NodeHarness(executor.row()) as harness:
+            client = BlockingClient(harness.address).send_request()
+            await until(lambda: executor.received, "the attempt")
             await asyncio.to_thread(client.socket.sendall, b"y" * 600_000)
-            await place.tell("done", more=',"result":"all of it"')
-            answer = await client.answer()
+            await harness.call_back("done", more=',"result":"all of it"')
+            response = await client.response()
             client.leave()
         executor.server.close()
-        return answer, executor.seen
+        return response, executor.received
 
-    answer, seen = asyncio.run(story())
-    assert b" 200 " in answer and answer.endswith(b"all of it") and b"Connection: close" in answer
-    assert seen == [b"r1"]
+    response, received = asyncio.run(story())
+    assert b" 200 " in response and response.endswith(b"all of it") and b"Connection: close" in response
+    assert received == [b"r1"]
 
 
-def test_a_client_that_left_while_the_node_stood_still_is_not_sent_on():
-    # Both lie in the kernel when the loop goes on: what is read before the turn's decisions is in time.
-    async def story(kept, reset):
-        executor = await Executor().start()
-        async with Place(executor.row()) as place:
-            await one_before(place, executor)
-            client = Client(place.address)
+@pytest.mark.parametrize("kept", (True, False))
+@pytest.mark.parametrize("reset", (False, True))
+def test_a_client_that_left_while_the_node_stood_still_is_not_sent_on(kept, reset):
+    """A client sends a request and leaves while the node's process stands still.
+
+    Both lie in the kernel when the event loop goes on: what is read before the batch's decisions is in time.
+    """
+
+    async def story():
+        executor = await ExecutorEmulator().start()
+        async with NodeHarness(executor.row()) as harness:
+            await open_idle_connection(harness, executor)
+            client = BlockingClient(harness.address)
             if kept:
-                await until(lambda: len(place.door.connections.accepted) == 1, "the connection")
-            client.hand_in().leave(reset)
+                await until(lambda: len(harness.door.connections.accepted) == 1, "the connection")
+            client.send_request().leave(reset)
             time.sleep(0.35)  # the stall itself
-            await until(lambda: place.turn.gauges.counts["left"] or len(executor.seen) > 1, "its end")
-            await place.serves_another(executor)
+            counts = harness.turn.gauges.counts
+            await until(lambda: counts["left"] or len(executor.received) > 1, "its end")
+            await harness.serve_another(executor)
         executor.server.close()
-        return executor.seen
+        return executor.received
 
-    for kept in (True, False):
-        for reset in (False, True):
-            assert asyncio.run(story(kept, reset)) == [b"r0", b"r2"], (kept, reset)
+    assert asyncio.run(story()) == [b"r0", b"r2"]
 
 
-@pytest.mark.parametrize("opens", (False, True))
-def test_a_client_that_leaves_in_a_long_turn_is_not_sent_on(opens):
-    async def story():
-        executor = await Executor().start()
-        async with Place(executor.row()) as place:
-            if not opens:
-                await one_before(place, executor)
-            client, forward, long = Client(place.address), place.desk.deeds["forward"], []
+@pytest.mark.parametrize("connects", (False, True))
+def test_a_client_that_leaves_in_a_long_batch_is_not_sent_on(connects):
+    """A client leaves while the batch that decides on its request takes long.
+
+    Its close lies in the kernel when the batch comes to write the attempt, which must not go out.
+    """
 
-            def forward_long(now, *what):
+    async def story():
+        executor = await ExecutorEmulator().start()
+        async with NodeHarness(executor.row()) as harness:
+            if not connects:
+                await open_idle_connection(harness, executor)
+            client = BlockingClient(harness.address)
+            forward = harness.desk.deeds["forward"]
+            slowed = []
+
+            def forward_slowly(now, *what):
                 forward(now, *what)
-                if not long:
-                    long.append(what)
+                if not slowed:
+                    slowed.append(what)
                     client.leave()
-                    time.sleep(0.35)  # the turn's own length
+                    time.sleep(0.35)  # the batch's own length
 
-            place.desk.deeds["forward"] = forward_long
-            client.hand_in()
-            await until(lambda: long and gone(place), "that the client has left")
-            await place.serves_another(executor)
+            harness.desk.deeds["forward"] = forward_slowly
+            client.send_request()
+            await until(lambda: slowed and has_left(harness), "that the client has left")
+            await harness.serve_another(executor)
         executor.server.close()
-        return executor.seen
+        return executor.received
 
-    assert asyncio.run(story()) == ([] if opens else [b"r0"]) + [b"r2"]
+    assert asyncio.run(story()) == ([] if connects else [b"r0"]) + [b"r2"]
 
 
 def test_a_client_that_ends_its_side_and_reads_nothing_has_left():
-    # An answer to an earlier message of its was still to be written: the connection's end waited for that.
+    """A client with a request open ends its sending side, and does not read an earlier response.
+
+    That response was still to be written, and the connection's end waited for it: the request was sent to an
+    executor.
+    """
+
     async def story():
-        executor = await Executor().start()
-        async with Place(executor.row(), gate=[executor.address]) as place:
-            client = Client(place.address)
-            client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        executor = await ExecutorEmulator().start()
+        async with NodeHarness(executor.row(), gated=[executor.address]) as harness:
+            client = BlockingClient(harness.address)
+            client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
             client.socket.sendall(b"GET /up HTTP/1.1\r\n\r\n")
-            await until(lambda: place.door.connections.accepted, "the connection")
-            inside = next(iter(place.door.connections.accepted))
-            inside.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            inside.transport.write(b"x" * 900_000)  # what it does not read
-            client.hand_in()
-            await waits_for_its_line(place, client)
+            await until(lambda: harness.door.connections.accepted, "the connection")
+            transport = next(iter(harness.door.connections.accepted)).transport
+            node_socket = transport.get_extra_info("socket")
+            node_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
+            transport.write(b"x" * 900_000)  # what it does not read
+            client.send_request()
+            await until_connecting(harness)
             client.socket.shutdown(socket.SHUT_WR)
-            replied, place.desk.reply = [], lambda now, owed, *what: replied.append(owed.id)
-            await until(lambda: gone(place) or replied, "that the client has left")
-            assert not replied and inside.transport.get_write_buffer_size()
-            del place.desk.reply
-            place.gate.open.set()
-            await place.serves_another(executor)
+            replied = []
+            harness.desk.reply = lambda now, open_request, *what: replied.append(open_request.id)
+            await until(lambda: has_left(harness) or replied, "that the client has left")
+            assert not replied and transport.get_write_buffer_size()
+            del harness.desk.reply
+            harness.gate.opened.set()
+            await harness.serve_another(executor)
             client.leave(reset=True)
         executor.server.close()
-        return executor.seen
+        return executor.received
 
     assert asyncio.run(story()) == [b"r2"]
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,214 +1,261 @@
-"""Connections to executors: what comes between a connect and its use, an answer and the next message."""
+"""Connections to executors: what comes between a connect and its use, a response and the next message."""
 
 import asyncio
 
 import pytest
-from crossing import Agent, Client, Executor, Place, until
+from node_harness import (
+    ACCEPTED,
+    BlockingClient,
+    DiscoveryEmulator,
+    ExecutorEmulator,
+    NodeHarness,
+    port_of,
+    until,
+)
 
 from grebedyke.wire.endpoint_rows import EndpointRow
 from grebedyke.wire.executor_connection import CallResult
 
-UNRUN = b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+NEVER_RAN = b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-@pytest.mark.parametrize("says", ("draining", "gone", "moved", "restarted"))
-def test_what_the_list_says_while_a_connection_comes_up_is_looked_at_again(says):
-    # A connect may take longer than the drain grace; what a former life gets, nobody answers.
+def close_all(*servers):
+    for each in servers:
+        each.server.close()
+
+
+@pytest.mark.parametrize("change", ("draining", "gone", "moved", "restarted"))
+def test_a_change_of_the_list_while_a_connection_comes_up_is_looked_at_again(change):
+    """The endpoint list changes between the decision for an executor and the end of the connect to it.
+
+    A connect may take longer than the drain grace: the attempt reached an executor that drains, or a former
+    incarnation of it, from which nobody answers.
+    """
+
     async def story():
-        old, new, agent = await Executor().start(), await Executor("s-2").start(), await Agent().start()
-        async with Place(old.row(), agent=agent, gate=[old.address]) as place:
-            client = Client(place.address).hand_in()
-            await until(lambda: place.gate.up == 1 and agent.asked, "connect and watch")
-            then = {
+        old = await ExecutorEmulator().start()
+        new = await ExecutorEmulator("s-2").start()
+        discovery = await DiscoveryEmulator().start()
+        async with NodeHarness(old.row(), discovery=discovery, gated=[old.address]) as harness:
+            client = BlockingClient(harness.address).send_request()
+            await until(lambda: harness.gate.waiting == 1 and discovery.polls, "connect and poll")
+            rows = {
                 "draining": [old.row(status="Terminating"), new.row()],
                 "gone": [old.row(status="Gone"), new.row()],
                 "moved": [{**new.row(), "name": "s-1"}],
-                "restarted": [{**new.row(since_ms=5), "name": "s-1"}],
-            }[says]
-            if says == "restarted":  # the same address, as another process
-                then = [old.row(since_ms=5)]
-            version = place.node.watch.version
-            agent.say(2, *then)
-            await until(lambda: place.node.watch.version != version and not place.turn.inbox, "the list")
-            place.gate.open.set()
-            whom = old if says == "restarted" else new
-            await until(lambda: whom.seen, "the forward")
-            await place.ended(client, name="s-2" if says in ("draining", "gone") else "s-1")
-        for server in (old, new, agent):
-            server.server.close()
-        return old.seen, new.seen, len(old.lines)
-
-    # The line to a former life is closed, also where the next one has the same address.
-    assert asyncio.run(story()) == (([b"r1"], [], 2) if says == "restarted" else ([], [b"r1"], 1))
-
-
-def test_a_connection_that_was_lost_before_it_carried_is_told_at_once():
+                "restarted": [old.row(since_ms=5)],  # the same address, as another process
+            }[change]
+            version = harness.node.watch.version
+            discovery.answer(2, *rows)
+            await until(lambda: harness.node.watch.version != version and not harness.turn.inbox, "the list")
+            harness.gate.opened.set()
+            executor = old if change == "restarted" else new
+            await until(lambda: executor.received, "the attempt")
+            await harness.finish(client, name="s-2" if change in ("draining", "gone") else "s-1")
+        close_all(old, new, discovery)
+        return old.received, new.received, len(old.writers)
+
+    # The connection to a former incarnation is closed, also where the next one has the same address.
+    expected = ([b"r1"], [], 2) if change == "restarted" else ([], [b"r1"], 1)
+    assert asyncio.run(story()) == expected
+
+
+def test_a_connection_that_was_lost_before_it_carried_is_reported_at_once():
+    """An executor closes a new connection before the node's task that opened it goes on.
+
+    The call on it would have no end before a time limit; the request must go to another executor at once.
+    """
+
     async def story():
-        executor, other = await Executor().start(), await Executor("s-2").start()
-        async with Place(executor.row(), gate=[executor.address]) as place:
-            client = Client(place.address).hand_in()
-            await until(lambda: place.gate.up == 1 and executor.lines, "the connect")
-            executor.lines[0].close()
-            await until(lambda: not place.endpoint().connections, "that it is lost")
-            place.desk.listed(
-                place.turn.clock(),
-                False,
-                [
-                    EndpointRow(
-                        "s-2",
-                        ("127.0.0.1", int(other.address.rpartition(":")[2])),
-                        "a",
-                        "m",
-                        0,
-                        "healthy",
-                        0,
-                        1,
-                    )
-                ],
-            )
-            place.gate.open.set()
-            await until(lambda: other.seen or executor.seen, "the next forward")
-            name = "s-2" if other.seen else "s-1"
-            await place.ended(client, name=name)
-        for server in (executor, other):
-            server.server.close()
-        return executor.seen + other.seen
+        executor = await ExecutorEmulator().start()
+        other = await ExecutorEmulator("s-2").start()
+        other_row = EndpointRow(
+            name="s-2",
+            address=("127.0.0.1", port_of(other.address)),
+            zone="a",
+            kind="m",
+            cell=0,
+            state="healthy",
+            since_ms=0,
+            weight=1,
+        )
+        async with NodeHarness(executor.row(), gated=[executor.address]) as harness:
+            client = BlockingClient(harness.address).send_request()
+            await until(lambda: harness.gate.waiting == 1 and executor.writers, "the connect")
+            executor.writers[0].close()
+            await until(lambda: not harness.endpoint().connections, "that it is lost")
+            harness.desk.listed(harness.turn.clock(), False, [other_row])
+            harness.gate.opened.set()
+            await until(lambda: other.received or executor.received, "the next attempt")
+            await harness.finish(client, name="s-2" if other.received else "s-1")
+        close_all(executor, other)
+        return executor.received + other.received
 
     assert asyncio.run(story()) == [b"r1"]
 
 
 def test_a_host_that_cannot_be_looked_up_ends_the_call_at_once():
-    # The resolver's refusal of such a name is no OSError: the call had no end before a time limit.
+    """The list has a host name that no resolver takes.
+
+    The resolver's refusal of such a name is no OSError: the call had no end before a time limit.
+    """
+
     async def story():
-        other, agent = await Executor("s-2").start(), await Agent().start()
-        async with Place(other.row(name="s-1", address="a..b:80"), agent=agent) as place:
-            client = Client(place.address).hand_in()
-            await until(lambda: place.turn.gauges.counts["unconnected"] and agent.asked, "the failed connect")
-            agent.say(2, other.row())
-            await until(lambda: other.seen, "the next forward")
-            await place.ended(client, name="s-2")
-        for server in (other, agent):
-            server.server.close()
-        return other.seen
+        other = await ExecutorEmulator("s-2").start()
+        discovery = await DiscoveryEmulator().start()
+        row = other.row(name="s-1", address="a..b:80")
+        async with NodeHarness(row, discovery=discovery) as harness:
+            client = BlockingClient(harness.address).send_request()
+            counts = harness.turn.gauges.counts
+            await until(lambda: counts["unconnected"] and discovery.polls, "the failed connect")
+            discovery.answer(2, other.row())
+            await until(lambda: other.received, "the next attempt")
+            await harness.finish(client, name="s-2")
+        close_all(other, discovery)
+        return other.received
 
     assert asyncio.run(story()) == [b"r1"]
 
 
-def test_the_calls_of_one_turn_share_the_room_for_lines():
-    # None of them had begun to connect when the next asked for room, and a line that was closed to make
-    # room stayed on the books: a burst took more descriptors than its share, up to the limit on all.
-    async def story(idle):
-        executor, other = await Executor().start(), await Executor("s-2").start()
-        async with Place(executor.row(), gate=[executor.address]) as place:
-            pool, most = place.pool, []
+@pytest.mark.parametrize("has_idle", (False, True))
+def test_the_calls_of_one_batch_share_the_limit_on_connections(has_idle):
+    """A burst of calls needs more connections than the limit allows.
+
+    None of them had begun to connect when the next asked for room, and a connection that was closed to make
+    room still counted as idle: a burst took more descriptors than its share, up to the limit on all.
+    """
+
+    async def open_six_idle(pool, address):
+        endpoint = pool.endpoint("s-2")
+        endpoint.is_listed = True
+        endpoint.move(address, 0)
+        for _ in range(6):
+            endpoint.call(b"GET", b"/alive", (), b"", lambda end: None)
+        await until(lambda: len(endpoint.idle) == 6, "six idle connections")
+
+    async def story():
+        executor = await ExecutorEmulator().start()
+        other = await ExecutorEmulator("s-2").start()
+        async with NodeHarness(executor.row(), gated=[executor.address]) as harness:
+            pool = harness.pool
+            used = []
             pool.max_connections = 6
-            if idle:
-                for i in range(6):
-                    pool.endpoint("s-2").is_listed = True
-                    pool.endpoint("s-2").move(("127.0.0.1", int(other.address.rpartition(":")[2])), 0)
-                    pool.endpoint("s-2").call(b"GET", b"/alive", (), b"", lambda *_: None)
-                await until(lambda: len(pool.endpoint("s-2").idle) == 6, "six idle lines")
-            ends = []
-            for i in range(20):
-                pool.endpoint("s-1").call(b"GET", b"/alive", (), b"", lambda end: ends.append(end.result))
-                most.append(len(pool.connections) + pool.connecting)
-            await until(lambda: len(ends) == 14, "what found no room")
-            await until(lambda: place.gate.up == 6, "the connects")
-            most.append(
-                len(pool.connections) + pool.connecting - place.gate.up
-            )  # held: a line, and still opening
-            place.gate.open.set()
-            await until(lambda: len(ends) == 20, "all ends")
-            most.append(len(pool.connections))
-        for server in (executor, other):
-            server.server.close()
-        return max(most), ends.count(CallResult.ANSWERED)
-
-    assert asyncio.run(story(False)) == (6, 6)
-    assert asyncio.run(story(True)) == (6, 6)
-
-
-def test_a_line_to_a_former_life_does_not_rest_among_those_of_the_next():
+            if has_idle:
+                await open_six_idle(pool, ("127.0.0.1", port_of(other.address)))
+            results = []
+            for _ in range(20):
+                pool.endpoint("s-1").call(b"GET", b"/alive", (), b"", lambda end: results.append(end.result))
+                used.append(len(pool.connections) + pool.connecting)
+            await until(lambda: len(results) == 14, "what found no room")
+            await until(lambda: harness.gate.waiting == 6, "the connects")
+            # One that waits at the gate is a connection, and still counts as connecting.
+            used.append(len(pool.connections) + pool.connecting - harness.gate.waiting)
+            harness.gate.opened.set()
+            await until(lambda: len(results) == 20, "all ends")
+            used.append(len(pool.connections))
+        close_all(executor, other)
+        return max(used), results.count(CallResult.ANSWERED)
+
+    assert asyncio.run(story()) == (6, 6)
+
+
+def test_a_connection_to_a_former_incarnation_does_not_rest_among_those_of_the_next():
+    """A response arrives from an executor that meanwhile moved to another address.
+
+    Its connection was kept for the next message, which then went to the former incarnation.
+    """
+
     async def story():
-        old, new, agent = await Executor().start(), await Executor().start(), await Agent().start()
-        old.answers = lambda line, head: b""
-        async with Place(old.row(), agent=agent) as place:
-            first = Client(place.address).hand_in("r0")
-            await until(lambda: old.seen and agent.asked, "forward and watch")
-            agent.say(2, new.row())
-            await until(lambda: place.node.watch.version == 2 and not place.turn.inbox, "the list")
-            old.lines[0].write(ACCEPTED)
-            await until(lambda: not place.endpoint().connections or place.endpoint().idle, "the answer")
-            await place.ended(first, "r0")
-            place.pool.duplicate_window = 0
-            second = Client(place.address).hand_in("r1")
-            await until(lambda: len(old.seen + new.seen) == 2, "the second forward")
-            if new.seen:
-                await place.ended(second)
-        for server in (old, new, agent):
-            server.server.close()
-        return old.seen, new.seen
+        old = await ExecutorEmulator().start()
+        new = await ExecutorEmulator().start()
+        discovery = await DiscoveryEmulator().start()
+        old.respond = lambda line, headers: b""
+        async with NodeHarness(old.row(), discovery=discovery) as harness:
+            first = BlockingClient(harness.address).send_request("r0")
+            await until(lambda: old.received and discovery.polls, "attempt and poll")
+            discovery.answer(2, new.row())
+            await until(lambda: harness.node.watch.version == 2 and not harness.turn.inbox, "the list")
+            old.writers[0].write(ACCEPTED)
+            await until(lambda: not harness.endpoint().connections or harness.endpoint().idle, "the response")
+            await harness.finish(first, "r0")
+            harness.pool.duplicate_window = 0
+            second = BlockingClient(harness.address).send_request("r1")
+            await until(lambda: len(old.received + new.received) == 2, "the second attempt")
+            if new.received:
+                await harness.finish(second)
+        close_all(old, new, discovery)
+        return old.received, new.received
 
     assert asyncio.run(story()) == ([b"r0"], [b"r1"])
 
 
-def test_an_answer_before_the_whole_body_is_written_ends_the_line():
-    # "Never ran" was believed while the rest of the body still flowed there: the job ran twice.
+def test_a_response_before_the_entire_body_is_written_ends_the_connection():
+    """An executor says that it never ran a request whose body the kernel has only in part.
+
+    That was believed while the rest of the body still flowed there: the job ran twice.
+    """
+
     async def story():
-        hasty, other, agent = await Executor().start(narrow=True), await Executor("s-2").start(), Agent()
-        await agent.start()
-        hasty.reads.clear()
-        async with Place(hasty.row(), agent=agent, gate=[hasty.address]) as place:
-            place.gate.narrow = True
-            place.gate.open.set()
-            client = Client(place.address).hand_in(body=b"x" * 65_536)
+        hasty = await ExecutorEmulator().start(small_buffers=True)
+        other = await ExecutorEmulator("s-2").start()
+        discovery = await DiscoveryEmulator().start()
+        hasty.may_read.clear()
+        async with NodeHarness(hasty.row(), discovery=discovery, gated=[hasty.address]) as harness:
+            harness.gate.small_buffers = True
+            harness.gate.opened.set()
+            client = BlockingClient(harness.address).send_request(body=b"x" * 65_536)
             await until(
-                lambda: [line for line in place.endpoint().connections if not line.fully_written],
+                lambda: [each for each in harness.endpoint().connections if not each.fully_written],
                 "a full kernel",
             )
-            agent.say(2, hasty.row(status="Terminating"), other.row())
-            await until(lambda: place.node.watch.version == 2, "the list")
-            hasty.lines[0].write(UNRUN)
-            await until(lambda: other.seen, "the next forward")
-            hasty.reads.set()
-            await place.ended(client, name="s-2")
-            await until(lambda: not place.endpoint().connections, "the line's end")
-        for server in (hasty, other, agent):
-            server.server.close()
-        return hasty.seen, other.seen
+            discovery.answer(2, hasty.row(status="Terminating"), other.row())
+            await until(lambda: harness.node.watch.version == 2, "the list")
+            hasty.writers[0].write(NEVER_RAN)
+            await until(lambda: other.received, "the next attempt")
+            hasty.may_read.set()
+            await harness.finish(client, name="s-2")
+            await until(lambda: not harness.endpoint().connections, "the connection's end")
+        close_all(hasty, other, discovery)
+        return hasty.received, other.received
 
     assert asyncio.run(story()) == ([], [b"r1"])
 
 
 @pytest.mark.parametrize("twice", (True, False))
-def test_an_answer_told_twice_is_not_taken_for_the_next_forwards(twice):
-    # A late "never ran" of the one before: what the executor was about to run went again. One that is the
-    # forward's own is believed all the same, a little later.
+def test_a_response_sent_twice_is_not_taken_for_the_next_attempts(twice):
+    """An executor sends "never ran" twice, and the second time after the next request on that connection.
+
+    It was taken for that request's response: what the executor was about to run was sent again. One that is
+    the request's own is believed all the same, a little later.
+    """
+
     async def story():
-        executor = await Executor().start()
-        async with Place(executor.row()) as place:
-            place.pool.duplicate_window = 60_000 if twice else 2_000  # this machine may be slow
-            first = Client(place.address).hand_in("r0")
-            await until(lambda: executor.seen, "the first forward")
-            await place.ended(first, "r0")
-            executor.answers = lambda line, head: b""
-            second = Client(place.address).hand_in("r1")
-            await until(lambda: len(executor.seen) == 2, "the second forward")
-            line = next(iter(place.endpoint().connections))
-            assert len(executor.lines) == 1 and line.expects_duplicate
-            flight = place.desk.owed[b"r1"].flights[0]
-            executor.lines[0].write(UNRUN)
-            await until(lambda: line.suspect_response or flight.done or len(executor.seen) > 2, "the answer")
+        executor = await ExecutorEmulator().start()
+        async with NodeHarness(executor.row()) as harness:
+            harness.pool.duplicate_window = 60_000 if twice else 2_000  # this machine may be slow
+            first = BlockingClient(harness.address).send_request("r0")
+            await until(lambda: executor.received, "the first attempt")
+            await harness.finish(first, "r0")
+            executor.respond = lambda line, headers: b""
+            second = BlockingClient(harness.address).send_request("r1")
+            await until(lambda: len(executor.received) == 2, "the second attempt")
+            connection = next(iter(harness.endpoint().connections))
+            assert len(executor.writers) == 1 and connection.expects_duplicate
+            attempt = harness.desk.owed[b"r1"].flights[0]
+            executor.writers[0].write(NEVER_RAN)
+            await until(
+                lambda: connection.suspect_response or attempt.done or len(executor.received) > 2,
+                "the response",
+            )
             if twice:
-                executor.lines[0].write(ACCEPTED)
-                await until(lambda: flight.accepted or flight.done, "its own answer")
-                assert not flight.done  # what runs there is not taken for never run
+                executor.writers[0].write(ACCEPTED)
+                await until(lambda: attempt.accepted or attempt.done, "its own response")
+                assert not attempt.done  # what runs there is not taken for never run
             else:
-                executor.answers = lambda line, head: ACCEPTED
-                await until(lambda: len(executor.seen) == 3, "the next forward")
-            await place.ended(second)
-        executor.server.close()
-        return executor.seen
+                executor.respond = lambda line, headers: ACCEPTED
+                await until(lambda: len(executor.received) == 3, "the next attempt")
+            await harness.finish(second)
+        close_all(executor)
+        return executor.received
 
     assert asyncio.run(story()) == [b"r0", b"r1", b"r1"][: 2 if twice else 3]
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -1,4 +1,4 @@
-"""Discovery fails, each way it can: how long after its return the node has been told, by settings."""
+"""Discovery fails, each way it can: how long after its return the node has its list, by settings."""
 
 import asyncio
 import resource
@@ -10,17 +10,28 @@
 from types import SimpleNamespace
 
 import pytest
-from crossing import ROW, TERMS, Agent, Client, Executor, Place, free_port, until
 from helpers import HAND_IN, dispatcher, floor, news, say
+from node_harness import (
+    ACCEPTED,
+    LISTED_EXECUTOR,
+    SETTINGS,
+    BlockingClient,
+    DiscoveryEmulator,
+    ExecutorEmulator,
+    NodeHarness,
+    free_port,
+    until,
+)
 from test_signals import program, told
 
 from grebedyke.service import node
 from grebedyke.wire.endpoint_rows import parse_endpoint_rows
 
-TOLD = 6.0
-DRAINING = {**ROW, "name": "s-1", "address": "127.0.0.1:9", "status": "Terminating"}
-# What an agent does that is down; `waits`: it says what it has, and falls silent while the next call waits.
-# "twice": so does the call after that; "slow": its answers take longer than a short drain grace leaves.
+# Seconds within which a change counts as known to the node.
+KNOWN_AFTER = 6.0
+DRAINING = {**LISTED_EXECUTOR, "name": "s-1", "address": "127.0.0.1:9", "status": "Terminating"}
+# What a discovery that is down does; "waits": it reports what it has, and falls silent while the next poll
+# waits; "twice": so does the poll after that; "slow": its answers take longer than a short drain grace.
 WAYS = (
     "refused",
     "no connect",
@@ -36,7 +47,7 @@
     "slow",
 )
 # Times in ms; askEveryMs is another host's: by it nothing here may change.
-SETTINGS = {
+CASE_SETTINGS = {
     "pushed": {},
     "pushed, drain grace 50": {"drain": 50},
     "pushed, drain grace 30 s": {"drain": 30_000},
@@ -46,135 +57,172 @@
 }
 
 
-def settings(registryMode="push", balancers=1, drain=2_000, askEveryMs=1_000):
-    rules = {**TERMS["rules"], "drainGraceMs": drain, "askEveryMs": askEveryMs}
+def case_settings(registryMode="push", balancers=1, drain=2_000, askEveryMs=1_000):
+    rules = {**SETTINGS["rules"], "drainGraceMs": drain, "askEveryMs": askEveryMs}
     return {"registryMode": registryMode, "balancers": balancers, "rules": rules}
 
 
-class Failing(Agent):
-    """Fails `fails` calls or connects in its way; with the last it is back, has the change, and answers."""
+class FailingDiscovery(DiscoveryEmulator):
+    """Fails a number of polls or connects in its way; with the last it is back and has a change.
+
+    Attributes:
+        way: One of `WAYS`.
+        failures_left: Polls or connects that are still to fail.
+        host_and_port: Its address, for the node's connects.
+        back_at: When it came back, by the event loop's clock; None before.
+        available_since: From when on the node could have had the change.
+        known_after: Seconds from then until the node had it; None before.
+        known: Set when the node has it.
+    """
 
-    def __init__(self, number, way, fails):
+    def __init__(self, number, way, failures):
         super().__init__()
-        self.way, self.left, self.told = way, 2 if way == "twice" else fails, asyncio.Event()
-        self.back = self.since = None
-        self.at_once, self.server, self.took = self.answer, None, None
+        self.way = way
+        self.failures_left = 2 if way == "twice" else failures
+        self.known = asyncio.Event()
+        self.known_after = None
+        self.back_at = None
+        self.available_since = None
+        self.on_poll = self.answer_or_fail
+        self.server = None
         # Its own address: on a shared one a connect of another node's may be given the port meanwhile.
-        self.place = f"127.1.{number // 250}.{number % 250 + 1}", free_port()
-        self.address = "%s:%d" % self.place
+        self.host_and_port = f"127.1.{number // 250}.{number % 250 + 1}", free_port()
+        self.address = "%s:%d" % self.host_and_port
 
     async def listen(self):
-        self.server = await asyncio.start_server(self.talk, *self.place)
-
-    def failed(self):
-        now, self.left = asyncio.get_running_loop().time(), self.left - 1
-        # Silences of an agent that has the change and can be reached are no outage: the first one counts.
-        self.since = self.since or now if self.way in ("twice", "slow") else now
-        if not self.left:
-            self.back = now
-
-    async def connect(self):
-        """Before the kernel's own connect; back from within a refused one, the next finds it listening."""
-        if self.way == "refused" and self.back is None:
-            self.failed()
-            if self.back is not None:
+        self.server = await asyncio.start_server(self.serve_connection, *self.host_and_port)
+
+    def fail_once(self):
+        now = asyncio.get_running_loop().time()
+        self.failures_left -= 1
+        if self.way in ("twice", "slow"):
+            # Silences of a discovery that has the change and can be reached are no outage: the first counts.
+            self.available_since = self.available_since or now
+        else:
+            self.available_since = now
+        if not self.failures_left:
+            self.back_at = now
+
+    async def before_connect(self):
+        """Called before the kernel's own connect; back from within a refused one, the next is taken."""
+        if self.way == "refused" and self.back_at is None:
+            self.fail_once()
+            if self.back_at is not None:
                 await self.listen()
             raise ConnectionRefusedError
-        if self.way == "no connect" and self.back is None:
-            self.failed()
+        if self.way == "no connect" and self.back_at is None:
+            self.fail_once()
             await asyncio.Event().wait()
 
-    async def answer(self, target, writer):
-        wants = "after=9" not in target
-        if self.back is not None:
-            return self.say(9, DRAINING, whole="after" not in target, writer=writer) if wants else None
-        if self.way in ("waits", "twice") and self.since is None and "wait_ms=2000" not in target:
-            return self.say(1, writer=writer)
-        if self.way == "older" and "after" in target:
-            return self.say(0, writer=writer)
-        if self.way == "slow":
-            self.since = self.since or asyncio.get_running_loop().time()
+    async def answer_or_fail(self, target, writer):
+        wants_change = "after=9" not in target
+        if self.back_at is not None:
+            if wants_change:
+                self.answer(9, DRAINING, complete="after" not in target, writer=writer)
+        elif self.way in ("waits", "twice") and self.available_since is None and "wait_ms=2000" not in target:
+            self.answer(1, writer=writer)
+        elif self.way == "older" and "after" in target:
+            self.answer(0, writer=writer)
+        elif self.way == "slow":
+            self.available_since = self.available_since or asyncio.get_running_loop().time()
             await asyncio.sleep(0.3)
-            return self.say(9, DRAINING, writer=writer) if wants else None
-        self.failed()
-        begun = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"
+            if wants_change:
+                self.answer(9, DRAINING, writer=writer)
+        else:
+            self.fail_once()
+            self.answer_wrongly(writer)
+
+    def answer_wrongly(self, writer):
+        part = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"
         if self.way in ("head", "body"):
-            writer.write(begun[:11] if self.way == "head" else begun)
+            writer.write(part[:11] if self.way == "head" else part)
         elif self.way == "odd":
             writer.write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
         elif self.way == "reset":
             writer.get_extra_info("socket").setsockopt(SOL_SOCKET, SO_LINGER, struct.pack("ii", 1, 0))
             writer.transport.abort()
 
-    def heard(self, now, whole, rows):
-        if self.took is None and any(row.name == "s-1" and row.state == "draining" for row in rows):
-            self.took = asyncio.get_running_loop().time() - self.since
-            self.told.set()
+    def list_changed(self, now, is_complete, rows):
+        """Called with each list that the node's policy gets."""
+        if self.known_after is None and any(row.name == "s-1" and row.state == "draining" for row in rows):
+            self.known_after = asyncio.get_running_loop().time() - self.available_since
+            self.known.set()
 
 
-async def took(agents, number, way, fails, more):
-    """Seconds from when the agent had the change and could be reached to the module's having it."""
-    agent = Failing(number, way, fails)
-    agents[agent.place] = agent
+async def seconds_until_known(discoveries, number, way, failures, settings):
+    """Returns the seconds between discovery having the change, within reach, and the policy having it."""
+    discovery = FailingDiscovery(number, way, failures)
+    discoveries[discovery.host_and_port] = discovery
     if way != "refused":
-        await agent.listen()
-    first = await Agent().start() if way == "moved" else agent
-    place = Place(
+        await discovery.listen()
+    first = await DiscoveryEmulator().start() if way == "moved" else discovery
+    harness = NodeHarness(
         {**DRAINING, "status": "Ready"},
-        agent=first,
-        **settings(**more),
-        listen="%s:%d" % (agent.place[0], free_port()),
+        discovery=first,
+        **case_settings(**settings),
+        listen="%s:%d" % (discovery.host_and_port[0], free_port()),
     )
-    await place.__aenter__()
-    place.desk.also_listed = agent.heard
+    await harness.__aenter__()
+    harness.desk.also_listed = discovery.list_changed
     if way == "moved":
-        place.node.watch.move(*agent.place)
+        harness.node.watch.move(*discovery.host_and_port)
     with suppress(TimeoutError):
-        await asyncio.wait_for(agent.told.wait(), 25)
-    place.node.stop()
-    await place.serving
-    for server in {first, agent}:
+        await asyncio.wait_for(discovery.known.wait(), 25)
+    harness.node.stop()
+    await harness.serving
+    for server in {first, discovery}:
         server.server.close()
-    return inf if agent.took is None else agent.took
+    return inf if discovery.known_after is None else discovery.known_after
+
+
+def is_case(way, failures, name):
+    """Returns whether a way of failing is tried so many times with the settings of that name."""
+    if failures == 3:
+        return way != "slow"
+    return way == "slow" or name in ("pushed", "asked, 200 nodes")
+
+
+def announce_connects(loop, discoveries):
+    """Has each connect to one of the discoveries announced to it."""
+    create_connection = loop.create_connection
 
+    async def connect(factory, host, port, **more):
+        if (host, port) in discoveries:
+            await discoveries[host, port].before_connect()
+        return await create_connection(factory, host, port, **more)
 
-def test_after_any_failure_a_change_is_told_in_time(monkeypatch):
+    loop.create_connection = connect
+
+
+def test_after_any_failure_a_change_is_known_in_time(monkeypatch):
+    """Discovery fails, in one of all ways it can, and comes back with a change of the endpoint list.
+
+    However long it was away, and whatever the settings: the change must be with the node's policy in time.
+    """
     # A collection at each start would halt all the other nodes of this process.
     monkeypatch.setattr(node, "gc", SimpleNamespace(collect=lambda: None, freeze=lambda: None))
     cases = [
-        (way, fails, name)
+        (way, failures, name)
         for way in WAYS
-        for fails in (1, 3)
-        for name in SETTINGS
-        if fails == 3
-        and way != "slow"
-        or fails == 1
-        and name in ("pushed", "asked, 200 nodes")
-        or fails == 1
-        and way == "slow"
+        for failures in (1, 3)
+        for name in CASE_SETTINGS
+        if is_case(way, failures, name)
     ]
 
     async def story():
-        loop, agents = asyncio.get_running_loop(), {}
-        connect = loop.create_connection
-
-        async def connecting(make, host, port, **more):
-            if (host, port) in agents:
-                await agents[host, port].connect()
-            return await connect(make, host, port, **more)
-
-        loop.create_connection = connecting
-        return await asyncio.gather(
-            *(
-                took(agents, number, way, fails, SETTINGS[name])
-                for number, (way, fails, name) in enumerate(cases)
-            )
-        )
+        discoveries = {}
+        announce_connects(asyncio.get_running_loop(), discoveries)
+        plays = [
+            seconds_until_known(discoveries, number, way, failures, CASE_SETTINGS[name])
+            for number, (way, failures, name) in enumerate(cases)
+        ]
+        return await asyncio.gather(*plays)
 
     times = dict(zip(cases, asyncio.run(story()), strict=True))
-    for name in SETTINGS:
-        print(name, {f"{way} {fails}": round(t, 2) for (way, fails, of), t in times.items() if of == name})
-    breaks = {case: t for case, t in times.items() if t >= TOLD}
+    for name in CASE_SETTINGS:
+        of_name = {f"{way} {failures}": t for (way, failures, of), t in times.items() if of == name}
+        print(name, {case: round(seconds, 2) for case, seconds in of_name.items()})
+    breaks = {case: seconds for case, seconds in times.items() if seconds >= KNOWN_AFTER}
     print(f"{len(times)} cases, {len(breaks)} breaks, the longest {max(times.values()):.2f} s")
     assert not breaks
 
@@ -199,37 +247,44 @@
         {"status": []},
     ),
 )
-def test_an_odd_line_costs_no_other_its_change(odd):
-    # The version counts as had, so what fails in the module would never be told again.
-    d = dispatcher()
-    rows = parse_endpoint_rows(
-        {"endpoints": [{**DRAINING, "name": "s-2", "status": "Ready", **odd}, DRAINING]}
-    )
-    d.listed(10, True, [(name, *more) for name, _, *more in rows])
-    assert d.fleet.all["s-1"].state == "draining"
+def test_an_odd_row_costs_no_other_its_change(odd):
+    """One row of a list is odd, beside one that has changed.
+
+    The list's version counts as known with it: a change that failed with the odd row would never come again.
+    """
+    policy = dispatcher()
+    odd_row = {**DRAINING, "name": "s-2", "status": "Ready", **odd}
+    rows = parse_endpoint_rows({"endpoints": [odd_row, DRAINING]})
+    policy.listed(10, True, [(name, *more) for name, _, *more in rows])
+    assert policy.fleet.all["s-1"].state == "draining"
 
 
-class Served(Executor):
-    """Tells its end of each invocation at once, on one connection that it keeps."""
+class FinishingExecutor(ExecutorEmulator):
+    """Reports success of each job at once.
 
-    def __init__(self, name, door):
+    Attributes:
+        listener: Host and port of the node's client listener.
+    """
+
+    def __init__(self, name, listener):
         super().__init__(name)
-        self.door, self.tasks = door, set()
-        self.answers = self.ends
+        self.listener = listener
+        self.tasks = set()
+        self.respond = self.accept_and_finish
 
-    def ends(self, line, head):
+    def accept_and_finish(self, line, headers):
         if line.startswith(b"POST"):
-            task = asyncio.create_task(self.tell(head[b"x-request-id"].decode()))
+            task = asyncio.create_task(self.call_back(headers[b"x-request-id"].decode()))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-        return b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+        return ACCEPTED
 
-    async def tell(self, id):
+    async def call_back(self, request_id):
         # An executor repeats a call-back until it is answered.
         for _ in range(10):
             with suppress(OSError, asyncio.IncompleteReadError):
-                reader, writer = await asyncio.open_connection(*self.door)
-                writer.write(news("done", self.name, id))
+                reader, writer = await asyncio.open_connection(*self.listener)
+                writer.write(news("done", self.name, request_id))
                 try:
                     await reader.readuntil(b"\r\n\r\n")
                     return
@@ -237,27 +292,27 @@
                     writer.close()
 
 
-async def handed(door, id, stays):
-    """Whether an invocation is answered by an executor's result; its connection is kept in `stays`.
+async def succeeds(listener, request_id, open_writers):
+    """Returns whether a request is answered by an executor's result; its connections stay open.
 
     In a crowd one may be told to come again, or be closed unread: as clients do, it comes again, four times.
     """
-    for again in range(5):
+    for retry in range(5):
         with suppress(asyncio.IncompleteReadError, OSError):
-            reader, writer = await asyncio.open_connection(*door)
-            stays.append(writer)
-            writer.write(Client.head(f"{id}-{again}", 0))
+            reader, writer = await asyncio.open_connection(*listener)
+            open_writers.append(writer)
+            writer.write(BlockingClient.request_head(f"{request_id}-{retry}", 0))
             if (await reader.readuntil(b"\r\n\r\n"))[9:12] == b"200":
                 return True
     return False
 
 
-async def idles(door, came):
-    """One of a crowd: connects, says nothing, and comes again when it is closed."""
+async def connect_and_idle(listener, connected):
+    """Acts as one of a crowd: connects, sends nothing, and comes again when it is closed."""
     while True:
         with suppress(OSError):
-            reader, writer = await asyncio.open_connection(*door)
-            came.append(writer)
+            reader, writer = await asyncio.open_connection(*listener)
+            connected.append(writer)
             try:
                 await reader.read()
             finally:
@@ -265,75 +320,144 @@
         await asyncio.sleep(0.5)
 
 
-def test_a_crowd_that_says_nothing_turns_no_invocation_away():
-    # All of it is new, so nobody could go when the client connected; its connection is there all the same.
-    for owed, taken in (0, True), (6, False):
-        node = floor(most=4)
-        crowd = [node.client() for _ in range(6)]
-        for i, one in enumerate(crowd[:owed]):
-            one.over_limit = False
-            say(one, HAND_IN.replace(b"r1", b"o%d" % i))
-        client = node.client()
+def test_a_silent_crowd_turns_no_request_away():
+    """A crowd connects and sends nothing, and then a client with a request connects.
+
+    All of the crowd is new, so none of it can be closed when the client connects. Its connection is there all
+    the same, and the request must be taken; only where all wait for responses is it turned away.
+    """
+    for open_requests, is_taken in ((0, True), (6, False)):
+        node_without_sockets = floor(most=4)
+        crowd = [node_without_sockets.client() for _ in range(6)]
+        for number, connection in enumerate(crowd[:open_requests]):
+            connection.over_limit = False
+            say(connection, HAND_IN.replace(b"r1", b"o%d" % number))
+        client = node_without_sockets.client()
         assert client.over_limit
         say(client, HAND_IN)
-        node.loop.go()
-        assert (client.open_request is not None) == taken, owed
-        assert (b" 503 " in client.transport.written) != taken
+        node_without_sockets.loop.go()
+        assert (client.open_request is not None) == is_taken, open_requests
+        assert (b" 503 " in client.transport.written) != is_taken
+
+
+class CrowdedNode:
+    """A node's process with few descriptors, all shares of which are drawn on while discovery is down.
+
+    Attributes:
+        listener: Host and port of the client listener.
+        discovery_port: Port on which discovery is back after a while.
+        discovery: The `DiscoveryEmulator`, which reports half of the executors as draining.
+        draining: The executors that begin to drain while discovery is down.
+        healthy: The other executors.
+        open_writers: Connections of clients that had a response and stay.
+        crowd: Tasks of clients that send nothing.
+        log_lines: What the node logs.
+    """
 
+    def __init__(self, descriptors):
+        self.descriptors = descriptors
+        # An address of its own: the executors' servers and connects draw their ports on the common one.
+        self.listener = f"127.2.0.{descriptors % 255}", free_port()
+        self.discovery_port = free_port()
+        self.discovery = DiscoveryEmulator()
+        self.discovery.on_poll = self.answer_poll
+        self.draining = []
+        self.healthy = []
+        self.open_writers = []
+        self.connected = []
+        self.crowd = []
+        self.log_lines = []
+
+    async def answer_poll(self, target, writer):
+        if "after=9" not in target:
+            rows = [executor.row(status="Terminating") for executor in self.draining]
+            self.discovery.answer(9, *rows, writer=writer)
+
+    async def start(self, folder):
+        # More executors than there are connections for.
+        executors = [
+            await FinishingExecutor(f"s-{number}", self.listener).start()
+            for number in range(self.descriptors // 3)
+        ]
+        self.draining = executors[::2]
+        self.healthy = executors[1::2]
+        node_file = told(
+            discovery=f"{self.listener[0]}:{self.discovery_port}",
+            listen="%s:%d" % self.listener,
+            limits={"sockets": self.descriptors},
+        )
+        node_file["known"] = {"index": 1, "endpoints": [executor.row() for executor in executors]}
+        limit = resource.RLIMIT_NOFILE, (self.descriptors, self.descriptors)
+        self.process, _ = program(folder, node_file, preexec_fn=lambda: resource.setrlimit(*limit))
+        self.reading = asyncio.create_task(
+            asyncio.to_thread(lambda: self.log_lines.extend(self.process.stderr))
+        )
+        await until(lambda: any("-> serving" in line for line in self.log_lines), "serving")
+
+    async def use_all_shares(self):
+        """Draws on the shares of connections to executors, of clients that stay, and of a silent crowd."""
+        for first in range(0, self.descriptors, 8):
+            requests = [succeeds(self.listener, f"a{first + i}", self.open_writers) for i in range(8)]
+            await asyncio.gather(*requests)
+        for _ in range(2 * self.descriptors):
+            self.crowd.append(asyncio.create_task(connect_and_idle(self.listener, self.connected)))
+        await until(lambda: len(self.connected) >= 2 * self.descriptors, "the crowd")
+
+    async def seconds_until_list_is_known(self):
+        """Returns how long after discovery's return the node has its list."""
+        discovery = self.discovery
+        discovery.server = await asyncio.start_server(
+            discovery.serve_connection, self.listener[0], self.discovery_port
+        )
+        start = time.monotonic()
+        await until(lambda: any("after=9" in target for target in discovery.polls), "the list")
+        return time.monotonic() - start
+
+    async def close(self):
+        for task in self.crowd:
+            task.cancel()
+        await asyncio.gather(*self.crowd, return_exceptions=True)
+        self.process.kill()
+        await asyncio.to_thread(self.process.wait)
+        await self.reading
+        self.process.stderr.close()
+        for writer in self.open_writers:
+            writer.close()
+        for server in (*self.draining, *self.healthy, self.discovery):
+            if hasattr(server, "server"):
+                server.server.close()
+
+
+def received_by(executors):
+    return sum(len(executor.received) for executor in executors)
+
+
+@pytest.mark.parametrize("descriptors", (256, 128, 64, 32))
+def test_idle_clients_leave_descriptors_for_discovery_and_attempts(tmp_path, descriptors):
+    """Idle clients and a silent crowd take up all that a node of few descriptors gives to clients.
+
+    With discovery down and back the node must still hear that half of its executors drain, and must send new
+    requests to the others.
+    """
 
-@pytest.mark.parametrize("most", (256, 128, 64, 32))
-def test_idle_clients_leave_descriptors_for_discovery_and_forwards(tmp_path, most):
     async def story():
-        agent, lines, stays, came, crowd = Agent(), [], [], [], []
-        port = free_port()
-        # Addresses of its own: the executors' servers and connects draw their ports on the common one.
-        door = f"127.2.0.{most % 255}", free_port()
-        said = told(discovery=f"{door[0]}:{port}", listen="%s:%d" % door, limits={"sockets": most})
-        # More than there are lines for; half of them begin to drain while discovery is down.
-        executors = [await Served(f"s-{i}", door).start() for i in range(most // 3)]
-        drained, rest = executors[::2], executors[1::2]
-        said["known"] = {"index": 1, "endpoints": [e.row() for e in executors]}
-        limit = resource.RLIMIT_NOFILE, (most, most)
-        work, _ = program(tmp_path, said, preexec_fn=lambda: resource.setrlimit(*limit))
-        reads = asyncio.create_task(asyncio.to_thread(lambda: lines.extend(work.stderr)))
-
-        async def at_once(target, writer):
-            if "after=9" not in target:
-                agent.say(9, *(e.row(status="Terminating") for e in drained), writer=writer)
-
-        agent.at_once = at_once
+        crowded = CrowdedNode(descriptors)
+        await crowded.start(tmp_path)
         try:
-            await until(lambda: any("-> serving" in line for line in lines), "serving")
-            # All shares are drawn on: lines to executors, clients that were good and stay, a silent crowd.
-            for i in range(0, most, 8):
-                await asyncio.gather(*(handed(door, f"a{i + j}", stays) for j in range(8)))
-            crowd += [asyncio.create_task(idles(door, came)) for _ in range(2 * most)]
-            await until(lambda: len(came) >= 2 * most, "the crowd")
-            agent.server = await asyncio.start_server(agent.talk, door[0], port)
-            back = time.monotonic()
-            await until(lambda: any("after=9" in target for target in agent.asked), "the list")
-            took, before = time.monotonic() - back, sum(len(e.seen) for e in rest)
-            wrong = sum(len(e.seen) for e in drained)
-            done = [await handed(door, f"b{i}", stays) for i in range(20)]
-            wrong = sum(len(e.seen) for e in drained) - wrong
-            faults = sum("accept" in line or "loop-fault" in line for line in lines)
+            await crowded.use_all_shares()
+            seconds = await crowded.seconds_until_list_is_known()
+            to_healthy = received_by(crowded.healthy)
+            to_draining = received_by(crowded.draining)
+            done = [await succeeds(crowded.listener, f"b{i}", crowded.open_writers) for i in range(20)]
+            to_healthy = received_by(crowded.healthy) - to_healthy
+            to_draining = received_by(crowded.draining) - to_draining
+            faults = sum("accept" in line or "loop-fault" in line for line in crowded.log_lines)
             print(
-                f"{most} descriptors: told after {took:.2f} s, {sum(done)} of 20 sent on and done, {wrong} "
-                f"to who drains, {faults} lines of want"
+                f"{descriptors} descriptors: known after {seconds:.2f} s, {sum(done)} of 20 done, "
+                f"{to_draining} to draining executors, {faults} log lines of want"
             )
-            return took < TOLD, all(done), sum(len(e.seen) for e in rest) - before >= 20, wrong, faults
+            return seconds < KNOWN_AFTER, all(done), to_healthy >= 20, to_draining, faults
         finally:
-            for task in crowd:
-                task.cancel()
-            await asyncio.gather(*crowd, return_exceptions=True)
-            work.kill()
-            await asyncio.to_thread(work.wait)
-            await reads
-            work.stderr.close()
-            for writer in stays:
-                writer.close()
-            for server in (*executors, agent):
-                if hasattr(server, "server"):
-                    server.server.close()
+            await crowded.close()
 
     assert asyncio.run(story()) == (True, True, True, 0, 0)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -11,7 +11,15 @@
 
 import orjson
 import pytest
-from crossing import TERMS, Agent, Client, Executor, Place, free_port, until
+from node_harness import (
+    SETTINGS,
+    BlockingClient,
+    DiscoveryEmulator,
+    ExecutorEmulator,
+    NodeHarness,
+    free_port,
+    until,
+)
 
 from grebedyke.service import node
 
@@ -35,7 +43,7 @@
         "name": "n1",
         "listen": "127.0.0.1:%d" % free_port(),
         "discovery": "127.0.0.1:%d" % free_port(),
-        "settings": TERMS,
+        "settings": SETTINGS,
         **more,
     }
 
@@ -60,15 +68,15 @@
 def test_a_discovery_that_moves_during_the_start_is_followed(tmp_path):
     # The signal is disregarded then; settings and peers were alike in the file, so nothing was done.
     async def story():
-        old, new = await Agent().start(), await Agent().start()
+        old, new = await DiscoveryEmulator().start(), await DiscoveryEmulator().start()
         said = told(discovery=old.address)
         work, file = program(tmp_path, said, BALANCER_DISCOVERY=old.address)
         try:
-            await until(lambda: old.asked, "the first call, in the start")
+            await until(lambda: old.polls, "the first call, in the start")
             file.write_bytes(orjson.dumps({**said, "discovery": new.address}))
             work.send_signal(signal.SIGHUP)
-            old.say(1)
-            await until(lambda: new.asked, "the new discovery")
+            old.answer(1)
+            await until(lambda: new.polls, "the new discovery")
             work.send_signal(signal.SIGTERM)
             return await asyncio.to_thread(work.wait, 20)
         finally:
@@ -83,10 +91,10 @@
 @pytest.mark.parametrize("number", (signal.SIGTERM, signal.SIGINT))
 def test_a_node_that_is_told_to_end_in_its_start_ends_with_0(tmp_path, number):
     async def story():
-        agent = await Agent().start()
-        work, _ = program(tmp_path, told(discovery=agent.address))
+        discovery = await DiscoveryEmulator().start()
+        work, _ = program(tmp_path, told(discovery=discovery.address))
         try:
-            await until(lambda: agent.asked, "the first call, in the start")
+            await until(lambda: discovery.polls, "the first call, in the start")
             work.send_signal(number)
             work.send_signal(number)
             return await asyncio.to_thread(work.wait, 20)
@@ -94,7 +102,7 @@
             work.kill()
             work.wait()
             work.stderr.close()
-            agent.server.close()
+            discovery.server.close()
 
     assert asyncio.run(story()) == 0
 
@@ -102,25 +110,25 @@
 def test_a_signal_between_listening_and_serving_is_an_orderly_stop():
     # What was taken in between was lost with the program.
     async def story():
-        executor = await Executor().start()
-        place = Place(executor.row(), wait=False)
-        async with place:
-            listen, clients = place.door.listen, []
+        executor = await ExecutorEmulator().start()
+        harness = NodeHarness(executor.row(), waits=False)
+        async with harness:
+            listen, clients = harness.door.listen, []
 
             async def listening(*args):
                 await listen(*args)
-                clients.append(Client(place.address).hand_in())
-                await until(lambda: b"r1" in place.desk.owed, "that it is taken")
+                clients.append(BlockingClient(harness.address).send_request())
+                await until(lambda: b"r1" in harness.desk.owed, "that it is taken")
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until(lambda: place.node.told_to_end, "the signal")
+                await until(lambda: harness.node.told_to_end, "the signal")
 
-            place.door.listen = listening
-            await until(lambda: place.node.phase == node.Phase.STOPPING, "the stop")
-            await until(lambda: executor.seen, "the forward")
-            await place.tell("done")
-            answer = await clients[0].answer()
+            harness.door.listen = listening
+            await until(lambda: harness.node.phase == node.Phase.STOPPING, "the stop")
+            await until(lambda: executor.received, "the forward")
+            await harness.call_back("done")
+            answer = await clients[0].response()
             clients[0].leave()
-            await asyncio.wait_for(place.serving, 20)
+            await asyncio.wait_for(harness.serving, 20)
         executor.server.close()
         return answer
 
@@ -130,19 +138,19 @@
 def test_an_invocation_half_read_or_just_accepted_is_waited_for_by_a_stop():
     # Neither is an idle client nor owed an answer: the node ended between two bytes of it.
     async def story(half):
-        executor = await Executor().start()
-        async with Place(executor.row()) as place:
-            client, head = Client(place.address), Client.head("r1", 3) + b"abc"
+        executor = await ExecutorEmulator().start()
+        async with NodeHarness(executor.row()) as harness:
+            client, head = BlockingClient(harness.address), BlockingClient.request_head("r1", 3) + b"abc"
             client.socket.sendall(head[:half])
-            await until(lambda: place.door.connections.accepted, "the connection")
-            settle, looked = place.node.settle, []
-            place.node.settle = lambda *args: (looked.append(1), settle(*args))
-            place.node.stop()
-            await until(lambda: len(looked) > 1 or place.serving.done(), "a look at the end")
+            await until(lambda: harness.door.connections.accepted, "the connection")
+            settle, looked = harness.node.settle, []
+            harness.node.settle = lambda *args: (looked.append(1), settle(*args))
+            harness.node.stop()
+            await until(lambda: len(looked) > 1 or harness.serving.done(), "a look at the end")
             client.socket.sendall(head[half:])
-            await until(lambda: executor.seen, "the forward")
-            await place.tell("done")
-            answer = await client.answer()
+            await until(lambda: executor.received, "the forward")
+            await harness.call_back("done")
+            answer = await client.response()
             client.leave()
         executor.server.close()
         return answer
@@ -154,21 +162,21 @@
 def test_what_comes_after_the_last_moment_is_told_to_go_elsewhere():
     # In the 20 ms before the loop ends it was taken, sent on perhaps, and dropped; or errored at once.
     async def story():
-        executor = await Executor().start()
-        async with Place(executor.row()) as place:
-            client = Client(place.address)
-            await until(lambda: place.door.connections.accepted, "the connection")
-            place.node.stop()
-            leave, left = place.node.leave, []
-            place.node.leave = lambda: left.append(1)
-            place.node.finish()
-            client.hand_in()
-            answer = await client.answer()
+        executor = await ExecutorEmulator().start()
+        async with NodeHarness(executor.row()) as harness:
+            client = BlockingClient(harness.address)
+            await until(lambda: harness.door.connections.accepted, "the connection")
+            harness.node.stop()
+            leave, left = harness.node.leave, []
+            harness.node.leave = lambda: left.append(1)
+            harness.node.finish()
+            client.send_request()
+            answer = await client.response()
             client.leave()
             await until(lambda: left, "the loop's end")
             leave()
         executor.server.close()
-        return answer, executor.seen
+        return answer, executor.received
 
     answer, seen = asyncio.run(story())
     assert b" 503 " in answer and b"Connection: close" in answer and not seen
@@ -178,7 +186,7 @@
     # They came while the node stood still, more than it has descriptors: asyncio's server met the limit, took
     # nobody for a second and again, and a client that had sent its invocation was never read.
     async def story():
-        executor = await Executor().start()
+        executor = await ExecutorEmulator().start()
         said = told(known={"index": 1, "endpoints": [executor.row()]}, limits={"sockets": 256})
         limit = resource.RLIMIT_NOFILE, (256, 256)
         work, _ = program(tmp_path, said, preexec_fn=lambda: resource.setrlimit(*limit))
@@ -187,10 +195,10 @@
             while "-> serving" not in await asyncio.to_thread(work.stderr.readline):
                 pass
             work.send_signal(signal.SIGSTOP)
-            crowd += [Client(address) for _ in range(300)]
-            crowd.append(Client(address).hand_in())
+            crowd += [BlockingClient(address) for _ in range(300)]
+            crowd.append(BlockingClient(address).send_request())
             work.send_signal(signal.SIGCONT)
-            await until(lambda: executor.seen, "the forward")
+            await until(lambda: executor.received, "the forward")
             work.send_signal(signal.SIGTERM)
             for client in crowd:
                 client.leave()
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -2,19 +2,19 @@
 
 import asyncio
 
-from crossing import Client, Executor, Place, until
+from node_harness import BlockingClient, ExecutorEmulator, NodeHarness, until
 
 
 def test_an_heir_that_dies_at_once_leaves_the_old_process_with_its_call_backs(tmp_path):
     # The old one had closed its listener for the heir's sake: no call-back reached it, and what it owed was
     # answered as errored at the end of its time.
     async def story():
-        executor = await Executor().start()
-        old = Place(executor.row(), folder=str(tmp_path))
+        executor = await ExecutorEmulator().start()
+        old = NodeHarness(executor.row(), folder=str(tmp_path))
         async with old:
-            client = Client(old.address).hand_in()
-            await until(lambda: executor.seen, "the forward")
-            heir = Place(executor.row(), folder=str(tmp_path), listen="%s:%d" % old.address)
+            client = BlockingClient(old.address).send_request()
+            await until(lambda: executor.received, "the forward")
+            heir = NodeHarness(executor.row(), folder=str(tmp_path), listen="%s:%d" % old.address)
             await heir.__aenter__()
             await until(lambda: old.node.handover.ready, "the heir")
             old.node.stop()
@@ -25,8 +25,8 @@
             heir.node.handover.close()
             heir.node.watch.close()
             await until(lambda: old.door.server, "a listener again")
-            await old.tell("done")
-            answer = await client.answer()
+            await old.call_back("done")
+            answer = await client.response()
             client.leave()
             await asyncio.wait_for(old.serving, 20)
         executor.server.close()
@@ -37,21 +37,21 @@
 
 def test_a_client_that_left_in_the_handover_is_no_client_of_the_heir(tmp_path):
     async def story():
-        executor = await Executor().start()
-        old = Place(executor.row(), folder=str(tmp_path))
+        executor = await ExecutorEmulator().start()
+        old = NodeHarness(executor.row(), folder=str(tmp_path))
         async with old:
-            client = Client(old.address).hand_in()
-            await until(lambda: executor.seen, "the forward")
-            await old.tell("done")
-            assert b" 200 " in await client.answer()
-            async with Place(
-                executor.row(), folder=str(tmp_path), listen="%s:%d" % old.address, gate=[executor.address]
+            client = BlockingClient(old.address).send_request()
+            await until(lambda: executor.received, "the forward")
+            await old.call_back("done")
+            assert b" 200 " in await client.response()
+            async with NodeHarness(
+                executor.row(), folder=str(tmp_path), listen="%s:%d" % old.address, gated=[executor.address]
             ) as heir:
                 await until(lambda: old.node.handover.ready, "the heir")
                 adopt, adopted = heir.door.adopt, []
 
                 async def adopting(**what):
-                    client.hand_in("r2").leave()  # with the kernel before the heir has the connection
+                    client.send_request("r2").leave()  # with the kernel before the heir has the connection
                     adopted.append(await adopt(**what))
 
                 take, taken = heir.door.on_request, []
@@ -60,9 +60,9 @@
                 old.node.stop()
                 await until(lambda: adopted, "the connection handed over")
                 await until(lambda: taken and not heir.door.connections.accepted, "its close")
-                heir.gate.open.set()
+                heir.gate.opened.set()
             await asyncio.wait_for(old.serving, 20)
         executor.server.close()
-        return executor.seen
+        return executor.received
 
     assert asyncio.run(story()) == [b"r1"]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,144 +1,200 @@
-"""The watch on the list: silent, reset, moved, at the start; what counts as told and what the node does."""
+"""The discovery client: silent, reset and moved polls, the start; what the node does meanwhile."""
 
 import asyncio
 from types import SimpleNamespace
 
 import orjson
 import pytest
-from crossing import TERMS, Agent, Client, Executor, Place, until
+from node_harness import (
+    SETTINGS,
+    BlockingClient,
+    DiscoveryEmulator,
+    ExecutorEmulator,
+    NodeHarness,
+    port_of,
+    until,
+)
 
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import parts_of
 from grebedyke.wire.discovery_client import LATE_ANSWER_TIME, DiscoveryClient
 
 
+class SilentDiscovery(DiscoveryEmulator):
+    """Falls silent in one of several ways, and answers later polls on a new connection with a change.
+
+    Attributes:
+        where: The step in which it falls silent; "twice": so does the connection after that.
+        executor: The executor that drains by its later answers.
+        other: The executor that is healthy by its later answers.
+        silent: The writer of each poll that it left without an answer, or with a part of one.
+    """
+
+    def __init__(self, where, executor, other):
+        super().__init__()
+        self.where = where
+        self.executor = executor
+        self.other = other
+        self.silent = []
+        self.silent_connections = 2 if where == "twice" else 1
+        self.on_poll = self.answer_or_fall_silent
+
+    async def answer_or_fall_silent(self, target, writer):
+        is_first = len(self.silent) < self.silent_connections and writer not in self.silent
+        if self.connected > self.silent_connections:
+            self.answer(9, self.other.row(), self.executor.row(status="Terminating"), writer=writer)
+            self.on_poll = None
+            return
+        self.silent.append(writer)
+        if self.where in ("asked", "twice") or self.where == "answered" and not is_first:
+            return
+        if self.where == "answered":
+            self.answer(1, writer=writer)
+            return
+        body = orjson.dumps({"index": 2, "endpoints": [self.other.row()]})
+        response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+        writer.write(response[:11] if self.where == "head" else response[:-9])
+
+
+def hold_first_connect(loop, to_port):
+    """Lets the first connect to a port never come up, as to a machine that vanished; returns those held."""
+    create_connection = loop.create_connection
+    held = []
+
+    async def connect(factory, host, port, **more):
+        if port == to_port and not held:
+            held.append(port)
+            await asyncio.Event().wait()
+        return await create_connection(factory, host, port, **more)
+
+    loop.create_connection = connect
+    return held
+
+
 @pytest.mark.parametrize("where", ("connect", "asked", "head", "body", "answered", "twice"))
-def test_a_watch_that_falls_silent_is_opened_anew(where):
-    # "twice": the new one falls silent as well; what it has counts as told 6 s after the first silence.
+def test_a_poll_that_falls_silent_is_begun_anew(where):
+    """Discovery stays silent in the midst of a poll, and the change it has is never reported.
+
+    What discovery has counts as known 6 s after the first silence, also where the next poll falls silent as
+    well ("twice"): by then no request may go to an executor that drains.
+    """
+
     async def story():
-        executor, other, agent = await Executor().start(), await Executor("s-2").start(), Agent()
-        silent, broken = [], 2 if where == "twice" else 1
-
-        async def at_once(target, writer):
-            first = len(silent) < broken and (writer not in silent)
-            if agent.connected > broken:
-                agent.say(9, other.row(), executor.row(status="Terminating"), writer=writer)
-                agent.at_once = None
-            elif where in ("asked", "twice") or where == "answered" and not first:
-                silent.append(writer)
-            elif where == "answered":
-                silent.append(writer)
-                agent.say(1, writer=writer)
-            else:
-                body = orjson.dumps({"index": 2, "endpoints": [other.row()]})
-                whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-                writer.write(whole[:11] if where == "head" else whole[:-9])
-                silent.append(writer)
-
-        agent.at_once = at_once
-        await agent.start()
+        executor = await ExecutorEmulator().start()
+        other = await ExecutorEmulator("s-2").start()
+        discovery = await SilentDiscovery(where, executor, other).start()
+        held = []
         if where == "connect":
-            agent.connected, agent.at_once = 1, at_once
-            asked = asyncio.get_running_loop().create_connection
-            held = []
-
-            async def connect(make, host, port, **more):
-                if port == int(agent.address.rpartition(":")[2]) and not held:
-                    held.append(port)
-                    await asyncio.Event().wait()  # a machine that vanished: it never comes up
-                return await asked(make, host, port, **more)
-
-            asyncio.get_running_loop().create_connection = connect
-        place = Place(executor.row(), agent=agent)
-        place.watch_wait = 1_000
-        async with place:
-            await until(lambda: place.node.watch.version == 9 and not place.turn.inbox, "the list")
-            client = Client(place.address).hand_in()
-            await until(lambda: other.seen or executor.seen, "the forward")
-            await place.ended(client, name="s-2")
-        for server in (executor, other, agent):
+            discovery.connected = 1
+            held = hold_first_connect(asyncio.get_running_loop(), port_of(discovery.address))
+        harness = NodeHarness(executor.row(), discovery=discovery)
+        harness.long_poll_wait = 1_000
+        async with harness:
+            await until(lambda: harness.node.watch.version == 9 and not harness.turn.inbox, "the list")
+            client = BlockingClient(harness.address).send_request()
+            await until(lambda: other.received or executor.received, "the attempt")
+            await harness.finish(client, name="s-2")
+        for server in (executor, other, discovery):
             server.server.close()
-        return executor.seen, other.seen, len(silent) or len(held)
+        return executor.received, other.received, len(discovery.silent) or len(held)
 
     assert asyncio.run(story()) == ([], [b"r1"], 2 if where in ("twice", "answered") else 1)
 
 
-def graces(drain, mode):
-    rules = {**TERMS["rules"], "drainGraceMs": drain}
-    return parts_of(configuration.terms({**TERMS, "rules": rules, "registryMode": mode}))[3]
+def discovery_settings(drain_grace_ms, mode):
+    rules = {**SETTINGS["rules"], "drainGraceMs": drain_grace_ms}
+    terms = configuration.terms({**SETTINGS, "rules": rules, "registryMode": mode})
+    _, _, _, settings = parts_of(terms)
+    return settings
 
 
 @pytest.mark.parametrize("drain", (0, 50, 300, 700, 2000, 30_000, 10**7))
-def test_two_silent_calls_end_before_what_they_miss_counts_as_told(drain):
-    # Told 6 s after the first silence, or 2 s after its wait is over; at discovery's return at once.
-    wait, grace, again, most = graces(drain, "push")
+def test_two_silent_polls_end_before_what_they_miss_counts_as_known(drain):
+    """Discovery may stay silent more than once, and what it has counts as known some time later all the same.
+
+    That is 6 s after the first silence, or 2 s after its wait is over; at discovery's return at once.
+    """
     second = 10_000
+    wait, grace, delay, max_delay = discovery_settings(drain, "push")
     assert wait == 20_000
-    # A third call may be silent, too, and the one after it be answered a second late.
-    assert wait + 3 * (grace + most) + second < 6 * second
-    assert grace + most <= max(drain * 10, 2_000) and again > 0
-    # A discovery that all nodes ask answers in its turn, within 2 s: that is waited for (a call that was
-    # given up is heard for a second more), after one silence, or after two with an answer at once.
-    wait, grace, again, most = graces(drain, "ask")
+    # A third poll may be silent, too, and the one after it be answered a second late.
+    assert wait + 3 * (grace + max_delay) + second < 6 * second
+    assert grace + max_delay <= max(drain * 10, 2_000) and delay > 0
+    # A discovery that all nodes poll answers one after the other, within 2 s: that is waited for (the answer
+    # to a poll that was given up is taken for a second more), after one silence, or after two with an answer
+    # at once.
+    wait, grace, delay, max_delay = discovery_settings(drain, "ask")
     assert wait == 20_000
-    assert grace + LATE_ANSWER_TIME >= 2 * second and again < most
-    assert wait + grace + again + 2 * second < 6 * second
-    assert wait + 2 * grace + again + 2 * again < 6 * second and grace + most + 2 * second < 6 * second
-
-
-def test_a_shared_discovery_that_turns_calls_away_is_asked_less_and_less_often():
-    # 32 nodes that asked each fifth of a second, and gave up what stood in its queue, were never told.
-    turn, asked = SimpleNamespace(put=lambda *x: None, after=lambda wait, call: asked.append(wait)), []
-    for mode, pauses in (("ask", [2_500, 5_000, 7_500, 7_500]), ("push", [2_500] * 4)):
-        settings, asked[:] = graces(2_000, mode), []
-        watch = DiscoveryClient(None, turn, ("h", 1), 1, settings, on_list=None, on_failure=None)
+    assert grace + LATE_ANSWER_TIME >= 2 * second and delay < max_delay
+    assert wait + grace + delay + 2 * second < 6 * second
+    assert wait + 2 * grace + delay + 2 * delay < 6 * second and grace + max_delay + 2 * second < 6 * second
+
+
+def test_a_shared_discovery_that_turns_polls_away_is_polled_less_and_less_often():
+    """32 nodes poll a discovery that they share.
+
+    They polled it each fifth of a second, gave up what stood in its queue, and never had an answer.
+    """
+    delays = []
+    batch = SimpleNamespace(put=lambda *what: None, after=lambda delay, call: delays.append(delay))
+    for mode, expected in (("ask", [2_500, 5_000, 7_500, 7_500]), ("push", [2_500] * 4)):
+        delays.clear()
+        settings = discovery_settings(2_000, mode)
+        client = DiscoveryClient(None, batch, ("h", 1), 1, settings, on_list=None, on_failure=None)
         for _ in range(4):
-            watch.poll_failed()
-        assert asked == pauses
+            client.poll_failed()
+        assert delays == expected
 
 
-def test_nothing_is_sent_before_the_agent_has_said_what_it_has(monkeypatch):
-    # It counts as told from the first moment of a process, and the file's list may be old: a forward went
-    # to an executor that had long begun to drain.
+def test_nothing_is_sent_before_discovery_has_reported_what_it_has(monkeypatch):
+    """A node starts with an old list in its file.
+
+    What discovery has counts as known from the first moment of a process: a request went to an executor that
+    had long begun to drain.
+    """
     monkeypatch.setattr(node, "FIRST", 20, raising=False)
 
     async def story():
-        executor, other = await Executor().start(), await Executor("s-2").start()
-        agent = await Agent().start()
-        place = Place(executor.row(), agent=agent, wait=False)
-        async with place:
-            await until(lambda: agent.asked, "the first call")
-            client = asyncio.create_task(asyncio.to_thread(connected, place.address))
-            assert place.node.phase == node.Phase.STARTING
-            agent.say(2, executor.row(status="Terminating"), other.row())
-            client = (await client).hand_in()
-            await until(lambda: other.seen or executor.seen, "the forward")
-            await place.ended(client, name="s-2")
-        for server in (executor, other, agent):
+        executor = await ExecutorEmulator().start()
+        other = await ExecutorEmulator("s-2").start()
+        discovery = await DiscoveryEmulator().start()
+        harness = NodeHarness(executor.row(), discovery=discovery, waits=False)
+        async with harness:
+            await until(lambda: discovery.polls, "the first poll")
+            connecting = asyncio.create_task(asyncio.to_thread(connected, harness.address))
+            assert harness.node.phase == node.Phase.STARTING
+            discovery.answer(2, executor.row(status="Terminating"), other.row())
+            client = (await connecting).send_request()
+            await until(lambda: other.received or executor.received, "the attempt")
+            await harness.finish(client, name="s-2")
+        for server in (executor, other, discovery):
             server.server.close()
-        return executor.seen, other.seen, agent.asked[0]
+        return executor.received, other.received, discovery.polls[0]
 
     assert asyncio.run(story()) == ([], [b"r1"], "/discovery/hosts?after=1&wait_ms=0")
 
 
 def connected(address):
-    """As soon as somebody listens there."""
+    """Connects as soon as somebody listens there."""
     while True:
         try:
-            return Client(address)
+            return BlockingClient(address)
         except ConnectionRefusedError:
             pass
 
 
-def test_an_agent_that_says_nothing_does_not_keep_a_node_from_serving():
+def test_a_silent_discovery_does_not_keep_a_node_from_serving():
+    """Discovery takes a node's first poll and never answers; the node must serve with its file's list."""
+
     async def story():
-        executor, agent = await Executor().start(), await Agent().start()
-        async with Place(executor.row(), agent=agent) as place:
-            assert agent.asked and place.node.phase == node.Phase.SERVING
-            client = Client(place.address).hand_in()
-            await until(lambda: executor.seen, "the forward")
-            await place.ended(client)
-        for server in (executor, agent):
+        executor = await ExecutorEmulator().start()
+        discovery = await DiscoveryEmulator().start()
+        async with NodeHarness(executor.row(), discovery=discovery) as harness:
+            assert discovery.polls and harness.node.phase == node.Phase.SERVING
+            client = BlockingClient(harness.address).send_request()
+            await until(lambda: executor.received, "the attempt")
+            await harness.finish(client)
+        for server in (executor, discovery):
             server.server.close()
 
     asyncio.run(story())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -147,7 +147,7 @@
 
 
 def test_a_newcomer_over_the_cap_is_never_closed_unread():
-    # Its invocation may be with the kernel already: a close would lose it.
+    """Its invocation may be with the kernel already: a close would lose it."""
     node = floor(most=2)
     busy = [say(node.client(), HAND_IN.replace(b"r1", b"r%d" % i)) for i in (1, 2)]
     third = node.client()
@@ -164,7 +164,7 @@
 
 
 def test_an_answer_of_this_turn_goes_out_before_its_connection_is_closed():
-    # At the stop's end, and where room is made, the answer was still in the ring and was lost.
+    """At the stop's end, and where room is made, the answer was still in the ring and was lost."""
     for close in (
         lambda node: node.door.close_idle(),
         lambda node: node.client(),
@@ -179,7 +179,7 @@
 
 
 def test_who_makes_room_for_a_newcomer():
-    # A crowd that connects and says nothing took the idle connections of all clients that had been good.
+    """A crowd that connects and says nothing took the idle connections of all clients that had been good."""
     for silent, asked, age, closed in (
         (15, 0, 4_000, ["silent"]),
         (15, 0, 0, []),
@@ -206,7 +206,7 @@
 
 
 def test_of_many_clients_that_ask_once_and_stay_the_longest_idle_go():
-    # Those that came later found no descriptor of the clients' share left, and were not taken at all.
+    """Those that came later found no descriptor of the clients' share left, and were not taken at all."""
     node = floor(share=0)
     client = node.hand_in()
     node.desk.do(NOW, ("error", b"r1"))
@@ -223,7 +223,7 @@
 
 
 def test_lines_to_a_former_life_are_dropped():
-    # A machine that vanished neither ends its connections nor answers on them: a forward there is lost.
+    """A machine that vanished neither ends its connections nor answers on them: a forward there is lost."""
     node = floor()
     for since, address, closing in ((0, 1, False), (0, 1, False), (900, 1, True), (900, 2, True)):
         line = node.lines[0] = join(type(node.lines[0])(node.pool.endpoints["s-1"]))
@@ -233,7 +233,7 @@
 
 
 def test_a_peer_that_never_says_anything_good_is_told_so_within_three_seconds():
-    # They were told after the longest client timeout, the silent ones never.
+    """They were told after the longest client timeout, the silent ones never."""
     node = floor()
     slow, mute, owed, used = say(node.client(), HAND_IN[:-1]), node.client(), node.hand_in(), node.client()
     say(used, HAND_IN.replace(b"r1", b"r2"))
@@ -340,7 +340,7 @@
 
 
 def test_news_of_an_earlier_forward_does_not_clear_a_later_one_there():
-    # "returned" of the first, told twice, would let a non-idempotent invocation run a second time.
+    """ "returned" of the first, told twice, would let a non-idempotent invocation run a second time."""
     for state, outcome in (("returned", "reset"), ("lost", "reset"), ("failed", "reset"), ("done", "ok")):
         node = floor()
         node.hand_in()
@@ -384,7 +384,7 @@
 
 
 def test_the_end_of_a_forwards_time():
-    # Before its 202 the line ends, after it the executor is told; what never left cannot have run.
+    """Before its 202 the line ends, after it the executor is told; what never left cannot have run."""
     for before, outcome, closing, delete in (
         ((), "timeout", True, False),
         ((ACCEPTED,), "timeout", False, True),
@@ -406,7 +406,7 @@
 
 
 def test_a_forward_of_which_nothing_is_heard_ends_early_as_a_broken_connection():
-    # A connection that fell silent held it until the client's timeout, and its executor for as long.
+    """A connection that fell silent held it until the client's timeout, and its executor for as long."""
     for heard, outcome in ((None, "reset"), (ACCEPTED, None), (news("started"), None)):
         node = floor()
         node.hand_in()
@@ -430,7 +430,7 @@
 
 
 def test_a_forward_whose_time_a_stop_has_cut_is_not_handed_back():
-    # At the stop's end each deduplicated one went out again within a millisecond, as a second copy.
+    """At the stop's end each deduplicated one went out again within a millisecond, as a second copy."""
     for latest, heard in ((NOW + 20_000, ["left", "ended"]), (None, ["ended"])):
         node = floor()
         node.desk.latest = latest
@@ -444,7 +444,7 @@
 
 
 def test_a_cancel_is_told_once_the_executor_has_heard_it_unless_an_end_came_first():
-    # Told sooner, the restart elsewhere could run beside it as a second copy.
+    """Told sooner, the restart elsewhere could run beside it as a second copy."""
     for ended, heard, outcomes in ((False, True, ["cancelled"]), (True, True, ["ok"]), (False, False, [])):
         node = floor()
         node.hand_in()
@@ -503,7 +503,7 @@
 
 
 def test_a_stall_before_the_reading_counts_into_the_client_timeout():
-    # A node that stood still for 0.6 s answered when its client had given up.
+    """A node that stood still for 0.6 s answered when its client had given up."""
     for stall, early in ((0, 0), (200, 0), (6_000, 6_000)):
         node = floor()
         node.turn.marks.extend([NOW - stall] * 3)
@@ -521,7 +521,7 @@
 
 
 def test_what_is_taken_while_stopping_is_no_repeat_to_the_module():
-    # With its time cut to the stop's end the module throttled all that came after SIGTERM.
+    """With its time cut to the stop's end the module throttled all that came after SIGTERM."""
     node = floor()
     node.desk.latest = NOW + 20_000
     client = node.hand_in()
@@ -557,7 +557,7 @@
 
 
 def test_lines_that_executors_give_up_early_are_used_only_as_long_as_they_are_seen_to_last():
-    # Each message on a line that had died unseen ended as a reset, after which little may be sent again.
+    """Each message on a line that had died unseen ended as a reset, after which little may be sent again."""
     for ending, first, usable in (
         ("eof", False, 15_000),
         ("reset", False, 15_000),
