--- a/grebedyke/model/in_flight.py
+++ b/grebedyke/model/in_flight.py
@@ -28,5 +28,6 @@
         owed.open, endpoint.open_attempts = owed.open + 1, endpoint.open_attempts + 1
 
     def end(self):
+        """Takes it out of the books of its request and its endpoint."""
         self.done = True
         self.owed.open, self.endpoint.open_attempts = self.owed.open - 1, self.endpoint.open_attempts - 1
--- a/grebedyke/rate_limits/request_limiter.py
+++ b/grebedyke/rate_limits/request_limiter.py
@@ -60,7 +60,7 @@
             delays = [meter.retry_delay(now) for meter in exhausted if not meter.limit.soft]
             if delays:
                 return max(delays)
-            request.over = True
+            request.over_quota = True
         slots = []
         for meter in meters:
             if meter not in exhausted:
@@ -76,7 +76,7 @@
 
         A request that came from another node is under that node's limits and always may.
         """
-        if request.asker is not None:
+        if request.origin_node is not None:
             return True
         exhausted = [
             meter for meter in self._meters_for(request, is_retry=True) if not meter.has_capacity(now)
@@ -104,7 +104,7 @@
 
     def _meters_for(self, request, is_retry=False):
         """Returns the meters of all limits that apply to the request, or to retries of it."""
-        operation = request.op.name
+        operation = request.operation.name
         tenant = request.tenant
         key = (operation, tenant, is_retry)
         meters = self._applicable.get(key)
--- a/grebedyke/service/desk.py
+++ b/grebedyke/service/desk.py
@@ -4,11 +4,24 @@
 
 from loguru import logger
 
-from grebedyke import model
+from grebedyke.model import actions
+from grebedyke.model.endpoint_list import EndpointRow
+from grebedyke.model.events import (
+    AttemptEnded,
+    AttemptProgressed,
+    AttemptStarted,
+    ClientLeft,
+    EndpointListUnavailable,
+    EndpointsChanged,
+    PeerMessageReceived,
+    ProbeAnswered,
+    RequestArrived,
+)
 from grebedyke.model.in_flight import Flight, Owed
+from grebedyke.model.outcome import Outcome
 from grebedyke.service import log
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire import words
+from grebedyke.wire import peer_codec
 from grebedyke.wire.endpoint_rows import HEALTHY
 from grebedyke.wire.executor_connection import CallResult
 from grebedyke.wire.executor_pool import EndpointAddress
@@ -17,10 +30,10 @@
 
 # What the state in a call-back means; one that is not here is news of a job under way.
 ENDS = {
-    JobState.SUCCEEDED: model.OK,
-    JobState.FAILED: model.FAULT,
-    JobState.REJECTED: model.FULL,
-    JobState.LOST: model.RESET,
+    JobState.SUCCEEDED: Outcome.SUCCEEDED,
+    JobState.FAILED: Outcome.FAILED,
+    JobState.REJECTED: Outcome.REJECTED,
+    JobState.LOST: Outcome.CONNECTION_RESET,
 }
 
 
@@ -35,16 +48,16 @@
         self.owed, self.latest, self.watch, self.peers, self.shift = {}, None, None, None, 0
         self.tell_other = None  # where two processes are one node: tells the other one
         self.also_listed = None  # told of each list too
-        self.deeds = {
-            "forward": self.forward,
-            "cancel": self.cancel,
-            "throttle": self.throttle,
-            "error": self.error,
-            "probe": self.probe,
-            "wake": self.wake,
-            "follow": self.follow,
-            "note": self.note,
-            "tell": self.tell,
+        self.carriers = {
+            actions.Forward: self.forward,
+            actions.Cancel: self.cancel,
+            actions.Throttle: self.throttle,
+            actions.Fail: self.error,
+            actions.Probe: self.probe,
+            actions.WakeAt: self.wake,
+            actions.PollEndpointList: self.follow,
+            actions.Note: self.note,
+            actions.SendPeerMessage: self.tell,
         }
 
     def tune(self, most_forwards, most_open, probe_path, probe_wait, margin, tick):
@@ -89,13 +102,14 @@
         # Whatever fails from here on, the invocation is answered in time.
         self.turn.at(max(owed.due - self.tick, now + 1), self.overslept, owed)
         if owed.client:
-            self.dispatcher.taken(now, owed.id, operation, tenant, due, hint, slots)
+            event = RequestArrived(owed.id, operation, tenant, due, hint, slots)
+            self.dispatcher.handle(now, event)
 
     def left(self, now, owed, client):
         if owed.client is client:
             owed.client = None
             self.gauges.count("left")
-            self.dispatcher.left(now, owed.id)
+            self.dispatcher.handle(now, ClientLeft(owed.id))
             self.settle(now, owed)
 
     def news(self, now, update, ours=True):
@@ -122,13 +136,14 @@
         if state == JobState.STARTED:
             if not flight.began:
                 flight.began = True
-                self.dispatcher.started(now, owed.id, flight.n, flight.call.needed_connect)
+                event = AttemptStarted(owed.id, flight.n, flight.call.needed_connect)
+                self.dispatcher.handle(now, event)
         elif state not in ENDS:
             flight.began = True
-            self.dispatcher.progressed(now, owed.id, flight.n)
+            self.dispatcher.handle(now, AttemptProgressed(owed.id, flight.n))
         elif flight.again and state != JobState.SUCCEEDED:
             # It may be told of the earlier forward there: then this one is not known to be over.
-            self.give_up(flight, model.RESET)
+            self.give_up(flight, Outcome.CONNECTION_RESET)
         else:
             free = report_from_json(update.load).plausible_free_slots()
             self.end(now, flight, ENDS[state], update.result, free)
@@ -150,39 +165,36 @@
         # An executor that never took it has no call-backs to make of it.
         flight.untold = how is CallResult.UNSENT or how is not CallResult.BROKEN and status != 202
         if how is CallResult.UNSENT:
-            self.end(now, flight, model.NO_CONNECTION)
+            self.end(now, flight, Outcome.CONNECT_FAILED)
         elif how is CallResult.BROKEN:
-            self.end(now, flight, model.RESET)
+            self.end(now, flight, Outcome.CONNECTION_RESET)
         elif status == 202:
             flight.accepted = True
         else:
-            outcome = model.FULL if unrun and status in (503, 504) else model.FAULT
+            outcome = Outcome.REJECTED if unrun and status in (503, 504) else Outcome.FAILED
             self.end(now, flight, outcome, free=report_from_text(load).plausible_free_slots())
 
     def listed(self, now, whole, rows):
         self.pool.update_endpoints(
             whole, [EndpointAddress(row.name, row.address, row.state, row.since_ms) for row in rows]
         )
-        self.dispatcher.listed(
-            now,
-            whole,
-            [
-                (name, zone, kind, cell, state, since and since * 10 + self.shift, weight)
-                for name, _, zone, kind, cell, state, since, weight in rows
-            ],
-        )
+        changed = [
+            EndpointRow(name, zone, kind, cell, state, since and since * 10 + self.shift, weight)
+            for name, _, zone, kind, cell, state, since, weight in rows
+        ]
+        self.dispatcher.handle(now, EndpointsChanged(whole, changed))
         if self.also_listed:
             self.also_listed(now, whole, rows)
 
     def unlisted(self, now):
-        self.dispatcher.unlisted(now)
+        self.dispatcher.handle(now, EndpointListUnavailable())
 
     def books(self):
         """For a process that goes on with this one's work: the executors with their addresses."""
         decides = self.dispatcher
         return {
-            "executors": decides.fleet.books(),
-            "budget": decides.budget.books(),
+            "executors": decides.endpoints.record(),
+            "budget": decides.retry_budget.export_state(),
             "places": [
                 (e.name, e.address, e.since_ms)
                 for e in self.pool.endpoints.values()
@@ -195,20 +207,22 @@
             True,
             [EndpointAddress(name, tuple(place), HEALTHY, since) for name, place, since in books["places"]],
         )
-        self.dispatcher.fleet.recall(now, books["executors"])
+        self.dispatcher.endpoints.restore(now, books["executors"])
         # A process of before this had no such books: what it has sent is unknown.
-        self.dispatcher.budget.recall(now, *books.get("budget") or ((), (), 0, 0))
-        self.dispatcher.listed(now, False, [])
+        self.dispatcher.retry_budget.import_state(now, *books.get("budget") or ((), (), 0, 0))
+        self.dispatcher.handle(now, EndpointsChanged(False, []))
 
     def by_hand(self, now, name, out):
         if out:
             # What still connects would reach an executor of which the operators were told that it is out.
             for flight in [f for owed in self.owed.values() for f in owed.flights if f.endpoint.name == name]:
                 self.take_back(now, flight)
-        return self.dispatcher.by_hand(now, name, out)
+        return self.dispatcher.set_banned(now, name, out)
 
     def heard(self, now, by, body):
-        words.deliver(self.dispatcher, now, by, body)
+        message = peer_codec.decode(body)
+        if message:
+            self.dispatcher.handle(now, PeerMessageReceived(by, message))
 
     # Ends of forwards and invocations.
 
@@ -217,14 +231,14 @@
         flight.end()
         if flight.call and not flight.call.ended:
             # A call-back may come before its 202; an answer that never ends would keep its line for good.
-            self.turn.at(
-                max(now + 1, flight.call.started_at + self.probe_wait), lambda now: flight.call.abandon()
-            )
-        if outcome != model.OK:
+            last = max(now + 1, flight.call.started_at + self.probe_wait)
+            self.turn.at(last, lambda now: flight.call.abandon())
+        if outcome != Outcome.SUCCEEDED:
             self.gauges.count(log.ENDS[outcome])
-        if outcome == model.OK and owed.client:
+        if outcome == Outcome.SUCCEEDED and owed.client:
             self.reply(now, owed, 200, "succeeded", result)
-        self.dispatcher.ended(now, owed.id, flight.n, outcome, owed.client is None, free)
+        event = AttemptEnded(owed.id, flight.n, outcome, owed.client is None, free)
+        self.dispatcher.handle(now, event)
         self.settle(now, owed)
 
     def reply(self, now, owed, status, outcome, body=b"", headers=""):
@@ -238,7 +252,7 @@
         """What has not left this machine, its connection still coming up or its bytes still here."""
         if flight.call and not (flight.done or flight.call.ended or flight.call.is_sent()):
             flight.call.abandon()
-            self.end(now, flight, model.MOOT)
+            self.end(now, flight, Outcome.NEVER_SENT)
 
     def settle(self, now, owed):
         if owed.client is None:
@@ -289,7 +303,7 @@
                 # send it again at once, beside a forward that its executor does not know to be given up.
                 return self.overslept(now, flight.owed)
             unsent = not (flight.accepted or flight.began or flight.call.ended or flight.call.is_sent())
-            outcome = model.NO_CONNECTION if unsent else model.TIMEOUT
+            outcome = Outcome.CONNECT_FAILED if unsent else Outcome.TIMEOUT
             self.give_up(flight, outcome)
             self.end(now, flight, outcome)  # now: there is no time for another, and an answer is due
 
@@ -298,7 +312,7 @@
         with it.
         """
         if not (flight.done or flight.accepted or flight.began or flight.call.ended):
-            outcome = model.RESET if flight.call.is_sent() else model.NO_CONNECTION
+            outcome = Outcome.CONNECTION_RESET if flight.call.is_sent() else Outcome.CONNECT_FAILED
             # The 202 may be under way, or the line's end slower than the next forward: told by DELETE as
             # well.
             flight.call.abandon()
@@ -309,15 +323,15 @@
             if self.gauges.few("odd"):
                 logger.warning("invocation unanswered at its due time: errored", event="overslept")
             self.reply(now, owed, 500, "errored")
-            self.dispatcher.left(now, owed.id)
+            self.dispatcher.handle(now, ClientLeft(owed.id))
             for flight in owed.flights:
                 self.overdue(now, flight)
             self.settle(now, owed)
 
     # What the module decided.
 
-    def do(self, now, decision):
-        self.deeds[decision[0]](now, *decision[1:])
+    def do(self, now, action):
+        self.carriers[type(action)](now, *action)
 
     def forward(self, now, id, name, allowed):
         owed, endpoint = self.owed[id], self.pool.endpoint(name)
@@ -339,12 +353,12 @@
         self.turn.at(now + self.probe_wait, self.unheard, flight)
 
     def unmade(self, now, flight):
-        self.end(now, flight, model.MOOT)
+        self.end(now, flight, Outcome.NEVER_SENT)
 
     def cancel(self, now, id, n):
         flight = self.owed[id].flights[n]
         if not flight.done:
-            self.give_up(flight, model.CANCELLED)
+            self.give_up(flight, Outcome.CANCELLED)
 
     def throttle(self, now, id, back):
         headers = f"Retry-After: {back / TICKS_PER_SECOND:g}\r\n" if back > 0 else ""
@@ -365,33 +379,34 @@
         def once(now, outcome, text=""):
             if not sent[0]:
                 sent[0] = True
-                self.dispatcher.probed(now, name, outcome, *report_from_text(text))
+                event = ProbeAnswered(name, outcome, *report_from_text(text))
+                self.dispatcher.handle(now, event)
 
         def came(end):
             text = (end.body or end.headers.get(b"x-server-load", b"")).decode("latin-1")
             outcome = (
-                model.NO_CONNECTION
+                Outcome.CONNECT_FAILED
                 if end.result is CallResult.UNSENT
-                else model.RESET
+                else Outcome.CONNECTION_RESET
                 if end.result is CallResult.BROKEN
-                else model.OK
+                else Outcome.SUCCEEDED
                 if end.status == 200
-                else model.FULL
+                else Outcome.REJECTED
                 if end.status == 503
-                else model.FAULT
+                else Outcome.FAILED
             )
             self.turn.put(once, outcome, text)
 
         def silent(now):
             call.abandon()
-            once(now, model.TIMEOUT)
+            once(now, Outcome.TIMEOUT)
 
         self.gauges.count("probes")
         call = endpoint.call(b"GET", self.probe_path, (), b"", came)
         self.turn.at(now + self.probe_wait, silent)
 
-    def tell(self, now, to, *word):
-        self.peers.send(to, words.pack(*word))
+    def tell(self, now, to, message):
+        self.peers.send(to, peer_codec.encode(message))
 
     def wake(self, now, at):
         self.turn.at(at, lambda now: None)
--- a/grebedyke/service/fleet_assembly.py
+++ b/grebedyke/service/fleet_assembly.py
@@ -7,7 +7,7 @@
 
 from grebedyke.consensus import framing
 from grebedyke.consensus.consensus import Consensus
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.service.component_host import LARGEST_CALL, ComponentHost, NodeAccess
 from grebedyke.service.record_files import RecordFiles
 from grebedyke.units import ticks
@@ -140,8 +140,8 @@
         send_datagram=node.peers.send,
         set_ban=node.console.by_hand,
         with_open_attempts=with_open_attempts,
-        listed_names=lambda: desk.dispatcher.fleet.all,
-        banned_names=lambda: desk.dispatcher.fleet.banned,
+        listed_names=lambda: desk.dispatcher.endpoints.by_id,
+        banned_names=lambda: desk.dispatcher.endpoints.banned,
     )
 
 
@@ -155,10 +155,11 @@
         return decision if decision is not None else host.next_action(now)
 
     def carry_out(now, action):
-        if isinstance(action[0], str):
-            carry_decision(now, action)
-        else:
+        # The host gives plain pairs, the dispatcher one of `grebedyke.model.actions`.
+        if type(action) is tuple:
             host.perform(now, *action)
+        else:
+            carry_decision(now, action)
 
     turn.decide = next_action
     turn.carry = carry_out
@@ -187,7 +188,7 @@
         return
     from grebedyke.rate_limits import settings
 
-    node.desk.dispatcher.shares.limits = rate_limits.request_limiter
+    node.desk.dispatcher.quotas.limits = rate_limits.request_limiter
     renew = node.renew
     differs = node.differs
 
--- a/grebedyke/wire/discovery_client.py
+++ b/grebedyke/wire/discovery_client.py
@@ -85,7 +85,7 @@
         version: Version of the list that this node has, None to ask for the whole list.
         settings: The `DiscoverySettings` in force.
         on_list: Input of the next batch: called with the time, whether the rows are the whole list, and the
-            list of `EndpointRow`.
+            list of `ListedEndpoint`.
         on_failure: Input of the next batch: called with the time after each poll that has failed.
         connection: The connection in use, None if there is none.
         connect_task: The task that opened it, or still does.
--- a/grebedyke/wire/endpoint_rows.py
+++ b/grebedyke/wire/endpoint_rows.py
@@ -15,7 +15,7 @@
 LOGGED_CHARACTERS = 40
 
 
-class EndpointRow(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """One executor as discovery lists it.
 
     Attributes:
@@ -48,7 +48,7 @@
         listing: The JSON object that discovery answers with.
 
     Returns:
-        A list of `EndpointRow`.
+        A list of `ListedEndpoint`.
     """
     rows = []
     odd_rows = []
@@ -77,7 +77,7 @@
     address = fields.get("address")
     host, _, port = address.rpartition(":") if isinstance(address, str) else ("", "", "")
     is_odd = state != GONE and not (host and _is_port(port))
-    row = EndpointRow(
+    row = ListedEndpoint(
         name=fields["name"],
         address=(host, _port_number(port)),
         zone=name_or_none(fields.get("zone")),
--- a/tests/departure_scene.py
+++ b/tests/departure_scene.py
@@ -180,21 +180,21 @@
 
     def endpoints(self):
         """Returns the policy's endpoints."""
-        return self.dispatcher.fleet.all.values()
+        return self.dispatcher.endpoints.by_id.values()
 
     def eject_all(self):
         """Has the policy leave out all executors."""
         for endpoint in self.endpoints():
-            endpoint.shut = 1 << 60
+            endpoint.ejected_until = 1 << 60
 
     def readmit_all(self):
         """Has the policy use all executors again."""
         for endpoint in self.endpoints():
-            endpoint.shut = 0
+            endpoint.ejected_until = 0
 
     def queued(self):
         """Returns the policy's requests that are queued at this node."""
-        return [request for request in self.dispatcher.held if request.held]
+        return [request for request in self.dispatcher.queue.waiting if request.queued]
 
     def hide_stall(self):
         """Marks as a busy event loop does in every pass: how long a close has lain there does not show."""
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -363,10 +363,12 @@
         pool = self.pool
         found = {
             "open requests": self.desk.owed,
-            "requests": dispatcher.invs,
-            "queued": [request for request in dispatcher.held if request.held],
-            "leases": dispatcher.leases,
-            "in flight": [each for each in dispatcher.fleet.all.values() if each.out or each.used],
+            "requests": dispatcher.requests,
+            "queued": [request for request in dispatcher.queue.waiting if request.queued],
+            "leases": dispatcher.lending.leases,
+            "in flight": [
+                each for each in dispatcher.endpoints.by_id.values() if each.in_flight or each.slots_in_use
+            ],
             "open attempts": [each for each in pool.endpoints.values() if each.open_attempts],
             "busy connections": [
                 each for each in pool.connections if each.call or each not in each.endpoint.idle
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -4,6 +4,8 @@
 
 from node_harness import SETTINGS, BlockingClient, DiscoveryEmulator, ExecutorEmulator, NodeHarness, until
 
+from grebedyke.model.actions import Cancel
+
 ENDLESS_RESPONSE = b"HTTP/1.1 202 Accepted\r\nContent-Length: 1000\r\n\r\nand so"
 
 
@@ -52,7 +54,9 @@
         async with NodeHarness(
             executor.row(), other, discovery=discovery, operations=[keyed_operation]
         ) as harness:
-            harness.desk.dispatcher.fleet.all["s-2"].shut = 2**62  # what is queued waits for it
+            harness.desk.dispatcher.endpoints.by_id["s-2"].ejected_until = (
+                2**62
+            )  # what is queued waits for it
             client = BlockingClient(harness.address).send_request()
             await until(lambda: executor.received and discovery.polls, "the attempt")
             discovery.answer(2, executor.row(status="Gone"))
@@ -94,7 +98,7 @@
             ensure_capacity = pool.ensure_capacity
             pool.ensure_capacity = lambda: tries.append(1)
             harness.desk.probe_wait = 300
-            harness.desk.do(harness.turn.clock(), ("cancel", b"r1", 0))
+            harness.desk.do(harness.turn.clock(), Cancel(b"r1", 0))
             await until(lambda: len(tries) > 2, "three tries")
             assert not attempt.done and not executor.deleted
             pool.ensure_capacity = ensure_capacity
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -12,10 +12,12 @@
 from departure_scene import GRACE, PAST_GRACE, DepartureScene
 from node_harness import ACCEPTED, BlockingClient, until
 
+from grebedyke.model.actions import Forward
+from grebedyke.model.peer_messages import SlotGrant, SlotRequest
 from grebedyke.rate_limits.definitions import Limit, LimitKind
 from grebedyke.rate_limits.lease_terms import LeaseTerms
 from grebedyke.rate_limits.request_limiter import RequestLimiter
-from grebedyke.wire import words
+from grebedyke.wire import peer_codec
 
 REJECTED = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 REJECTED_AND_CLOSED = REJECTED[:-2] + b"Connection: close\r\n\r\n"
@@ -57,24 +59,25 @@
     async with DepartureScene(count, limits={"peerMessages": True}, balancers=2) as scene:
         slot_requests = {}
         desk = scene.harness.desk
-        endpoint_table = scene.dispatcher.fleet
+        coordinators = scene.dispatcher.endpoints.coordinators
 
         def record_slot_request(receiver, body):
-            kind, number, *_ = words.unpack(body)
-            if kind == "ask":
-                slot_requests[number] = words.unpack(body)
+            message = peer_codec.decode(body)
+            if isinstance(message, SlotRequest):
+                slot_requests[message.number] = message
 
         desk.peers.send = record_slot_request
-        endpoint_table.keeper = lambda group, now, silent=False: 1
+        coordinators.node_for = lambda group, now: 1
         clients = scene.clients(count)
         scene.send_requests(clients)
         await until(lambda: len(slot_requests) == count and len(scene.queued()) == count, "the slot requests")
         scene.leave(clients)
         await scene.until_past_grace()
         for number, slot_request in slot_requests.items():
-            scene.harness.turn.put(desk.heard, 1, words.pack("lend", number, slot_request[2]))
+            grant = peer_codec.encode(SlotGrant(number, slot_request.rank))
+            scene.harness.turn.put(desk.heard, 1, grant)
         await until(lambda: not scene.harness.turn.inbox)
-        endpoint_table.keeper = lambda group, now, silent=False: 0
+        coordinators.node_for = lambda group, now: 0
         return await scene.finish()
 
 
@@ -94,7 +97,7 @@
             )
             scene.eject_all()
             await until(
-                lambda: len([request for request in scene.queued() if request.forwards]) == count,
+                lambda: len([request for request in scene.queued() if request.attempts]) == count,
                 "that they are queued again",
             )
             scene.recorder.respond = lambda request_id: ACCEPTED
@@ -102,7 +105,7 @@
             await scene.until_past_grace()
             scene.readmit_all()
             for endpoint in scene.endpoints():
-                endpoint.full.clear()
+                endpoint.rejected_until.clear()
             return await scene.finish()
 
     return scene_of
@@ -162,10 +165,10 @@
         async with DepartureScene(2 * count + 2, **CUTOFF_SETTINGS) as scene:
             recorder = scene.recorder
             cutoffs = scene.dispatcher.cutoffs
-            cutoffs.best = [500]
-            cutoffs.freed = 9
-            cutoffs.at = 1 << 60
-            scene.dispatcher.fleet.lay(0.5)
+            cutoffs.in_force = [500]
+            cutoffs.slots_freed = 9
+            cutoffs.next_fit = 1 << 60
+            scene.dispatcher.endpoints.assign_tiers(0.5)
             recorder.may_confirm.clear()
             clients = scene.clients(count)
             scene.send_requests(clients)
@@ -175,7 +178,7 @@
             await until(lambda: len(recorder.deletes) == count, "the cancels")
             if step == "queued":
                 for endpoint in scene.endpoints():
-                    endpoint.shut = scene.harness.turn.clock() + 4_000
+                    endpoint.ejected_until = scene.harness.turn.clock() + 4_000
                 recorder.may_confirm.set()
                 await until(
                     lambda: len([request for request in scene.queued() if request.tier]) == count, "tier one"
@@ -183,7 +186,7 @@
             scene.leave(clients)
             await scene.until_past_grace()
             recorder.may_confirm.set()
-            cutoffs.best = None
+            cutoffs.in_force = None
             return await scene.finish()
 
     return scene_of
@@ -197,7 +200,7 @@
         terms = LeaseTerms(node_count=1, lease=1_000_000, clock_drift=0.02, run_on=500)
         limiter = RequestLimiter([limit], terms, clock())
         limiter.meters[limit.wire_id].receive_share(clock(), 1, 1 << 60)
-        scene.dispatcher.shares.limits = limiter
+        scene.dispatcher.quotas.limits = limiter
         first = scene.clients(1, 0)
         clients = scene.clients(count)
         scene.send_requests(first)
@@ -284,7 +287,7 @@
         async with DepartureScene(count + 3) as scene:
             await scene.serve_another(b"z0")
             desk = scene.harness.desk
-            forward = desk.deeds["forward"]
+            forward = desk.carriers[Forward]
             clients = scene.clients(count)
             others = []
             lengths_left = list(lengths)
@@ -300,7 +303,7 @@
                         other = BlockingClient(scene.harness.address)
                         others.append(other.send_request("y%d" % (len(others) + 1)))
 
-            desk.deeds["forward"] = forward_slowly
+            desk.carriers[Forward] = forward_slowly
             await until(lambda: len(scene.harness.door.connections.accepted) >= count)
             scene.send_requests(clients)
             await until(lambda: not lengths_left, "the batches")
@@ -315,12 +318,12 @@
 
 
 async def between_two_halves(count):
-    """A pass of the event loop of 70 ms, then a batch of 70 ms: neither is a stall, together they are too long."""
+    """A pass of the event loop of 70 ms, then a batch of 70 ms: neither is a stall, both are too long."""
     count = min(count, 2)  # a hundred that send their requests make a stall of that
     async with DepartureScene(count) as scene:
         await scene.serve_another(b"z0")
         desk = scene.harness.desk
-        forward = desk.deeds["forward"]
+        forward = desk.carriers[Forward]
         clients = scene.clients(count)
         slowed = []
 
@@ -330,7 +333,7 @@
                 slowed.append(what)
                 time.sleep(0.07)
 
-        desk.deeds["forward"] = forward_slowly
+        desk.carriers[Forward] = forward_slowly
         await until(lambda: len(scene.harness.door.connections.accepted) >= count)
         scene.hide_stall()
         scene.send_requests(clients)
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -7,6 +7,9 @@
 import pytest
 from node_harness import SMALL_BUFFER, BlockingClient, ExecutorEmulator, NodeHarness, until
 
+from grebedyke.model.actions import Forward, Throttle
+from grebedyke.model.events import ClientLeft
+
 
 def has_left(harness, request_id=b"r1"):
     """Returns whether the node knows that this request's client has left."""
@@ -97,8 +100,8 @@
             client = BlockingClient(harness.address).send_request()
             await until_connecting(harness)
             if how == "throttle":
-                harness.desk.do(harness.turn.clock(), ("throttle", b"r1", 0))
-                harness.desk.dispatcher.left(harness.turn.clock(), b"r1")
+                harness.desk.do(harness.turn.clock(), Throttle(b"r1", 0))
+                harness.desk.dispatcher.handle(harness.turn.clock(), ClientLeft(b"r1"))
             else:
                 harness.desk.overslept(harness.turn.clock(), harness.desk.owed[b"r1"])
             harness.turn.hurry()
@@ -201,7 +204,7 @@
             if not connects:
                 await open_idle_connection(harness, executor)
             client = BlockingClient(harness.address)
-            forward = harness.desk.deeds["forward"]
+            forward = harness.desk.carriers[Forward]
             slowed = []
 
             def forward_slowly(now, *what):
@@ -211,7 +214,7 @@
                     client.leave()
                     time.sleep(0.35)  # the batch's own length
 
-            harness.desk.deeds["forward"] = forward_slowly
+            harness.desk.carriers[Forward] = forward_slowly
             client.send_request()
             await until(lambda: slowed and has_left(harness), "that the client has left")
             await harness.serve_another(executor)
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -13,7 +13,7 @@
     until,
 )
 
-from grebedyke.wire.endpoint_rows import EndpointRow
+from grebedyke.wire.endpoint_rows import ListedEndpoint
 from grebedyke.wire.executor_connection import CallResult
 
 NEVER_RAN = b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -69,7 +69,7 @@
     async def story():
         executor = await ExecutorEmulator().start()
         other = await ExecutorEmulator("s-2").start()
-        other_row = EndpointRow(
+        other_row = ListedEndpoint(
             name="s-2",
             address=("127.0.0.1", port_of(other.address)),
             zone="a",
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -9,7 +9,7 @@
 from grebedyke.maintenance.plan import LatePolicy, Plan, ReturnSignal
 from grebedyke.maintenance.rollout import MachineState, MachineStatus, Rollout, RolloutPhase
 from grebedyke.maintenance.settings import MaintenanceSettings
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rig import broken
 
 LEASE = 10_000
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -24,6 +24,7 @@
 )
 from test_signals import program, told
 
+from grebedyke.model.endpoint_list import EndpointRow
 from grebedyke.service import node
 from grebedyke.wire.endpoint_rows import parse_endpoint_rows
 
@@ -255,8 +256,8 @@
     policy = dispatcher()
     odd_row = {**DRAINING, "name": "s-2", "status": "Ready", **odd}
     rows = parse_endpoint_rows({"endpoints": [odd_row, DRAINING]})
-    policy.listed(10, True, [(name, *more) for name, _, *more in rows])
-    assert policy.fleet.all["s-1"].state == "draining"
+    policy.listed(10, True, [EndpointRow(name, *more) for name, _, *more in rows])
+    assert policy.endpoints.by_id["s-1"].state == "draining"
 
 
 class FinishingExecutor(ExecutorEmulator):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,8 +1,9 @@
 import pytest
 from helpers import HAND_IN, NOW, floor, join, news, say
 
-from grebedyke import model
 from grebedyke.errors import HttpProtocolError
+from grebedyke.model.actions import Cancel, Fail, Forward, Probe, Throttle
+from grebedyke.model.outcome import Outcome
 from grebedyke.wire.executor_pool import EndpointAddress
 from grebedyke.wire.http_parser import HttpParser
 from grebedyke.wire.ring_buffer import RingBuffer
@@ -147,7 +148,7 @@
 
 
 def test_a_newcomer_over_the_cap_is_never_closed_unread():
-    """Its invocation may be with the kernel already: a close would lose it."""
+    # Its invocation may be with the kernel already: a close would lose it.
     node = floor(most=2)
     busy = [say(node.client(), HAND_IN.replace(b"r1", b"r%d" % i)) for i in (1, 2)]
     third = node.client()
@@ -157,14 +158,14 @@
     assert third.transport.written.startswith(b"HTTP/1.1 503") and third.transport.closing
     assert b"r3" not in node.desk.owed
     third.connection_lost(None)
-    node.desk.do(0, ("error", b"r1"))
+    node.desk.do(0, Fail(b"r1"))
     node.loop.go()
     fresh = node.client()  # over the cap again: the one that is between two messages makes room
     assert busy[0].transport.closing and not busy[1].transport.closing and not fresh.transport.closing
 
 
 def test_an_answer_of_this_turn_goes_out_before_its_connection_is_closed():
-    """At the stop's end, and where room is made, the answer was still in the ring and was lost."""
+    # At the stop's end, and where room is made, the answer was still in the ring and was lost.
     for close in (
         lambda node: node.door.close_idle(),
         lambda node: node.client(),
@@ -172,14 +173,14 @@
     ):
         node = floor(most=1)
         client = node.hand_in()
-        node.desk.do(NOW, ("error", b"r1"))
+        node.desk.do(NOW, Fail(b"r1"))
         close(node)
         node.loop.go()
         assert client.transport.closing and client.transport.written.startswith(b"HTTP/1.1 500")
 
 
 def test_who_makes_room_for_a_newcomer():
-    """A crowd that connects and says nothing took the idle connections of all clients that had been good."""
+    # A crowd that connects and says nothing took the idle connections of all clients that had been good.
     for silent, asked, age, closed in (
         (15, 0, 4_000, ["silent"]),
         (15, 0, 0, []),
@@ -189,7 +190,7 @@
     ):
         node = floor(most=16)
         kept = node.hand_in()
-        node.desk.do(NOW, ("error", b"r1"))
+        node.desk.do(NOW, Fail(b"r1"))
         node.loop.go()
         crowd = [
             (name, say(node.client(), text))
@@ -206,10 +207,10 @@
 
 
 def test_of_many_clients_that_ask_once_and_stay_the_longest_idle_go():
-    """Those that came later found no descriptor of the clients' share left, and were not taken at all."""
+    # Those that came later found no descriptor of the clients' share left, and were not taken at all.
     node = floor(share=0)
     client = node.hand_in()
-    node.desk.do(NOW, ("error", b"r1"))
+    node.desk.do(NOW, Fail(b"r1"))
     node.loop.go()
     assert not say(client, HAND_IN).transport.closing  # never one that hands in
     node, clients = floor(share=2), []
@@ -217,13 +218,13 @@
     for i in range(4):
         clients.append(say(node.client(), HAND_IN.replace(b"r1", b"r%d" % i)))
         if i != 1:
-            node.desk.do(NOW, ("error", b"r%d" % i))
+            node.desk.do(NOW, Fail(b"r%d" % i))
         node.loop.go()
     assert [c.transport.closing for c in clients] == [True, False, True, False]
 
 
 def test_lines_to_a_former_life_are_dropped():
-    """A machine that vanished neither ends its connections nor answers on them: a forward there is lost."""
+    # A machine that vanished neither ends its connections nor answers on them: a forward there is lost.
     node = floor()
     for since, address, closing in ((0, 1, False), (0, 1, False), (900, 1, True), (900, 2, True)):
         line = node.lines[0] = join(type(node.lines[0])(node.pool.endpoints["s-1"]))
@@ -233,11 +234,11 @@
 
 
 def test_a_peer_that_never_says_anything_good_is_told_so_within_three_seconds():
-    """They were told after the longest client timeout, the silent ones never."""
+    # They were told after the longest client timeout, the silent ones never.
     node = floor()
     slow, mute, owed, used = say(node.client(), HAND_IN[:-1]), node.client(), node.hand_in(), node.client()
     say(used, HAND_IN.replace(b"r1", b"r2"))
-    node.desk.do(NOW, ("error", b"r2"))
+    node.desk.do(NOW, Fail(b"r2"))
     node.loop.go()
     say(used, HAND_IN[:-1])
     for after, told in ((20_000, []), (22_500, [slow, mute]), (70_000, [slow, mute, used])):
@@ -312,9 +313,9 @@
 
 def test_never_ran_only_while_the_last_byte_is_not_with_the_kernel():
     for stuck, drained, outcome in (
-        (False, False, model.RESET),
-        (True, False, model.NO_CONNECTION),
-        (True, True, model.RESET),
+        (False, False, Outcome.CONNECTION_RESET),
+        (True, False, Outcome.CONNECT_FAILED),
+        (True, True, Outcome.CONNECTION_RESET),
     ):
         node = floor()
         node.hand_in()
@@ -331,16 +332,16 @@
 def test_a_line_that_ends_before_the_turn_writes_has_sent_nothing():
     node = floor()
     node.hand_in()
-    node.desk.do(NOW, ("forward", b"r1", "s-1", 9_000))
+    node.desk.do(NOW, Forward(b"r1", "s-1", 9_000))
     node.lines[0].transport.closing = True
     node.turn.run()
     node.lines[0].connection_lost(None)
     node.loop.go()
-    assert [x[3] for x in node.ends()] == [model.NO_CONNECTION] and not node.lines[0].transport.written
+    assert [x[3] for x in node.ends()] == [Outcome.CONNECT_FAILED] and not node.lines[0].transport.written
 
 
 def test_news_of_an_earlier_forward_does_not_clear_a_later_one_there():
-    """ "returned" of the first, told twice, would let a non-idempotent invocation run a second time."""
+    # "returned" of the first, told twice, would let a non-idempotent invocation run a second time.
     for state, outcome in (("returned", "reset"), ("lost", "reset"), ("failed", "reset"), ("done", "ok")):
         node = floor()
         node.hand_in()
@@ -384,7 +385,7 @@
 
 
 def test_the_end_of_a_forwards_time():
-    """Before its 202 the line ends, after it the executor is told; what never left cannot have run."""
+    # Before its 202 the line ends, after it the executor is told; what never left cannot have run.
     for before, outcome, closing, delete in (
         ((), "timeout", True, False),
         ((ACCEPTED,), "timeout", False, True),
@@ -406,7 +407,7 @@
 
 
 def test_a_forward_of_which_nothing_is_heard_ends_early_as_a_broken_connection():
-    """A connection that fell silent held it until the client's timeout, and its executor for as long."""
+    # A connection that fell silent held it until the client's timeout, and its executor for as long.
     for heard, outcome in ((None, "reset"), (ACCEPTED, None), (news("started"), None)):
         node = floor()
         node.hand_in()
@@ -430,7 +431,7 @@
 
 
 def test_a_forward_whose_time_a_stop_has_cut_is_not_handed_back():
-    """At the stop's end each deduplicated one went out again within a millisecond, as a second copy."""
+    # At the stop's end each deduplicated one went out again within a millisecond, as a second copy.
     for latest, heard in ((NOW + 20_000, ["left", "ended"]), (None, ["ended"])):
         node = floor()
         node.desk.latest = latest
@@ -444,14 +445,14 @@
 
 
 def test_a_cancel_is_told_once_the_executor_has_heard_it_unless_an_end_came_first():
-    """Told sooner, the restart elsewhere could run beside it as a second copy."""
+    # Told sooner, the restart elsewhere could run beside it as a second copy.
     for ended, heard, outcomes in ((False, True, ["cancelled"]), (True, True, ["ok"]), (False, False, [])):
         node = floor()
         node.hand_in()
         node.forward()
         say(node.lines[0], ACCEPTED)
         node.loop.go()
-        node.desk.do(NOW, ("cancel", b"r1", 0))
+        node.desk.do(NOW, Cancel(b"r1", 0))
         node.loop.go()
         assert not node.ends() and b"DELETE /jobs/r1 " in node.lines[0].transport.written
         if ended:
@@ -470,7 +471,7 @@
     for name, allowed, outcome in (("s-9", 9_000, "no connection"), ("s-1", 0, "moot")):
         node = floor()
         node.hand_in()
-        node.desk.do(NOW, ("forward", b"r1", name, allowed))
+        node.desk.do(NOW, Forward(b"r1", name, allowed))
         node.desk.overslept(0, node.desk.owed[b"r1"]) if not allowed else None
         node.forward() if allowed else None
         node.loop.go()
@@ -498,12 +499,12 @@
     node.desk.overslept(0, node.desk.owed[b"r1"])
     node.loop.go()
     assert client.transport.written.startswith(b"HTTP/1.1 500") and not node.desk.owed
-    node.desk.do(0, ("throttle", b"r1", 0))
+    node.desk.do(0, Throttle(b"r1", 0))
     assert client.transport.written.count(b"HTTP/1.1") == 1
 
 
 def test_a_stall_before_the_reading_counts_into_the_client_timeout():
-    """A node that stood still for 0.6 s answered when its client had given up."""
+    # A node that stood still for 0.6 s answered when its client had given up.
     for stall, early in ((0, 0), (200, 0), (6_000, 6_000)):
         node = floor()
         node.turn.marks.extend([NOW - stall] * 3)
@@ -521,7 +522,7 @@
 
 
 def test_what_is_taken_while_stopping_is_no_repeat_to_the_module():
-    """With its time cut to the stop's end the module throttled all that came after SIGTERM."""
+    # With its time cut to the stop's end the module throttled all that came after SIGTERM.
     node = floor()
     node.desk.latest = NOW + 20_000
     client = node.hand_in()
@@ -534,10 +535,10 @@
     node.hand_in()
     node.pool.endpoints["s-1"].idle.clear()  # both descriptors in use: no third line
     node.lines[1].carry(node.pool.endpoints["s-2"].call(b"GET", b"/alive", (), b"", lambda *_: None))
-    node.desk.do(NOW, ("forward", b"r1", "s-1", 9_000))
+    node.desk.do(NOW, Forward(b"r1", "s-1", 9_000))
     assert not node.ends()
     node.loop.go()
-    assert [x[3] for x in node.ends()] == [model.NO_CONNECTION]
+    assert [x[3] for x in node.ends()] == [Outcome.CONNECT_FAILED]
 
 
 def test_idle_lines_are_used_last_first_and_dropped_well_before_they_are_closed_there():
@@ -549,7 +550,7 @@
     node.forward()
     assert young.transport.written and not node.lines[0].transport.written
     node.lines[0].idle_since -= node.pool.settings.max_idle_time
-    node.desk.do(NOW, ("probe", "s-1"))
+    node.desk.do(NOW, Probe("s-1"))
     node.loop.go()
     assert not node.lines[0].transport.written
     node.pool.sweep(NOW)
@@ -557,7 +558,7 @@
 
 
 def test_lines_that_executors_give_up_early_are_used_only_as_long_as_they_are_seen_to_last():
-    """Each message on a line that had died unseen ended as a reset, after which little may be sent again."""
+    # Each message on a line that had died unseen ended as a reset, after which little may be sent again.
     for ending, first, usable in (
         ("eof", False, 15_000),
         ("reset", False, 15_000),
@@ -577,7 +578,7 @@
         assert node.pool.usable_idle_time == usable, (ending, first)
         node.pool.endpoints["s-2"].idle = [node.lines[1]]
         node.lines[1].idle_since = NOW - 20_000
-        node.desk.do(NOW, ("probe", "s-2"))
+        node.desk.do(NOW, Probe("s-2"))
         node.loop.go()
         assert bool(node.lines[1].transport.written) == (usable == 1_000_000)
         node.pool.sweep(NOW)
@@ -588,7 +589,7 @@
     node = floor()
     node.turn.put(lambda now: 1 / 0)
     client = node.hand_in()
-    node.desk.do(0, ("error", b"r1"))
+    node.desk.do(0, Fail(b"r1"))
     node.loop.go()
     assert client.transport.written.startswith(b"HTTP/1.1 500")
 
@@ -600,7 +601,7 @@
         (b"", ("s-1", "timeout", None, None)),
     ):
         node = floor()
-        node.desk.do(NOW, ("probe", "s-1"))
+        node.desk.do(NOW, Probe("s-1"))
         node.loop.go()
         say(node.lines[0], answer)
         node.loop.go()
