--- a/grebedyke/rig/hollow.py
+++ b/grebedyke/rig/hollow.py
@@ -26,7 +26,7 @@
 from grebedyke.service.log import Gauges
 from grebedyke.service.record_files import RecordFiles
 from grebedyke.service.turn import Turn
-from grebedyke.wire.peers import Peers
+from grebedyke.wire.peer_socket import PeerSocket
 
 
 class Hollow:
@@ -69,7 +69,7 @@
         self.lives, self.turn, self.demand.turn = self.lives + 1, turn, turn
         process = new_process_id()
         told = {**self.said, "seed": f"{self.said['seed']} {self.lives}"}
-        peers = self.peers = Peers(place.loop, turn, None, framing.LARGEST_DATAGRAM)
+        peers = self.peers = PeerSocket(place.loop, turn, None, framing.LARGEST_DATAGRAM)
         parts = self.parts = ComponentHost(
             place.loop,
             turn,
@@ -87,10 +87,10 @@
         )
         self.disk = parts.disk_thread
         self.tap.attach(parts, peers, place.loop)
-        peers.heard = parts.receive_datagram
+        peers.on_message = parts.receive_datagram
         turn.decide, turn.last_look = parts.next_action, parts.expire
         turn.carry = lambda now, decision: parts.perform(now, *decision)
-        peers.move(self.said["peers"], self.me)
+        peers.set_peers(self.said["peers"], self.me)
         turn.put(parts.endpoints_changed, True, place.rows)
         parts.start(False)
         self.alive = True
@@ -102,7 +102,7 @@
         if self.alive:
             self.alive = False
             self.demand.stop()
-            self.peers.move([], 0)
+            self.peers.set_peers([], 0)
             self.parts.is_started = False
             self.turn.limits.clear()
             self.parts.close()
--- a/grebedyke/wire/peer_codec.py
+++ b/grebedyke/wire/peer_codec.py
@@ -54,10 +54,10 @@
 
 
 def decode(body):
-    """The peer message in a datagram, or None where it cannot be read.
+    r"""Returns the peer message in a datagram, or None where it cannot be read.
 
     >>> progressed = encode(SlotProgressed(3))
-    >>> [decode(body) for body in (b"", b"1" * 300, progressed[:-1], b"\\x02" + progressed[1:])]
+    >>> [decode(body) for body in (b"", b"1" * 300, progressed[:-1], b"\x02" + progressed[1:])]
     [None, None, None, None]
     """
     if len(body) < HEADER.size:
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -2,8 +2,8 @@
 
 import orjson
 import pytest
-from crossing import TERMS
 from helpers import HAND_IN, NOW, floor, pull, say
+from node_harness import SETTINGS
 
 from grebedyke.model.actions import Forward, Throttle
 from grebedyke.model.endpoint_list import EndpointRow
@@ -12,6 +12,7 @@
 from grebedyke.service import configuration
 from grebedyke.service.assembly import paced, parts_of
 from grebedyke.service.reload import reload
+from grebedyke.wire.client_listener import ListenerSettings
 
 
 @pytest.mark.parametrize(
@@ -29,7 +30,7 @@
 def test_an_operation_is_found_by_whatever_name_the_settings_give_it(name, path, header):
     # Names were read as Latin-1: every invocation of such an operation was answered 404.
     node = floor()
-    node.door.tune({name: 40_000}, 60_000)
+    node.door.apply_settings(ListenerSettings({name: 40_000}, 60_000))
     head = HAND_IN.replace(b"/op/", b"/" + path + b"/")
     if header:
         head = head.replace(b"X-Timeout", b"X-Priority-Class: " + header + b"\r\nX-Timeout")
@@ -51,7 +52,7 @@
 def test_clients_that_go_on_with_a_longer_time_are_taken_and_answered_by_the_shorter():
     # After a reload that shortened it they were answered 400, an error, until they had heard of it.
     node = floor()
-    node.door.tune({"op": 20_000}, 60_000)
+    node.door.apply_settings(ListenerSettings({"op": 20_000}, 60_000))
     for wait, taken in ((4000, True), (4001, False), (2000, True), (1500, True)):
         node.told.heard.clear()
         client = say(node.client(), HAND_IN.replace(b"r1", b"r%d" % wait).replace(b"4000", b"%d" % wait))
@@ -64,9 +65,9 @@
 
 def test_a_longer_tick_does_not_send_again_beside_a_forward_whose_time_is_over():
     terms = {
-        **TERMS,
+        **SETTINGS,
         "tickMs": 2,
-        "operations": [{**TERMS["operations"][0], "idempotency": "safe", "latencyObjectiveMs": 20_000}],
+        "operations": [{**SETTINGS["operations"][0], "idempotency": "safe", "latencyObjectiveMs": 20_000}],
     }
     d = configuration.open_dispatcher("1", configuration.terms(orjson.loads(orjson.dumps(terms))))
     listed = [EndpointRow(f"s-{i}", "a", "m", 0, "healthy", 0, 1) for i in range(3)]
@@ -87,11 +88,11 @@
     terms = paced(
         configuration.terms(
             {
-                **TERMS,
+                **SETTINGS,
                 "tickMs": tick,
                 "operations": [
-                    TERMS["operations"][0],
-                    {**TERMS["operations"][0], "name": "b", "clientTimeoutMs": shortest},
+                    SETTINGS["operations"][0],
+                    {**SETTINGS["operations"][0], "name": "b", "clientTimeoutMs": shortest},
                 ],
             }
         )
