--- /dev/null
+++ b/tests/test_cutting.py
@@ -0,0 +1,96 @@
+"""Cutting running attempts, and the search for cutoffs."""
+
+import random
+from math import inf, isclose, log
+
+from helpers import dispatcher, pull, rows
+
+from grebedyke.model.actions import Cancel, Forward
+from grebedyke.model.outcome import Outcome
+from grebedyke.policy import bounded_pareto
+from grebedyke.policy.bounded_pareto import BoundedPareto
+from grebedyke.policy.wait_model import Tier, Workload, mean_wait
+
+
+def test_trial_cuts_are_few_until_their_effect_is_known():
+    """Cancels may free nothing: cutting at large until that is known would waste a whole refit interval."""
+    d = dispatcher()
+    d.listed(10, True, rows(1, 2))
+    d.cutoffs.in_force, d.cutoffs.next_fit = [500], 10**9
+    for e in d.endpoints.healthy:
+        e.credit = 40.0
+    for i in range(40):
+        d.taken(10, i, "op", None, 90_000, 1_000, 1)
+    sent = pull(d, 10, Forward)
+    for id, _, _ in sent[:20]:
+        d.started(20, id, 0)
+    assert 0 < len(pull(d, 700, Cancel)) <= 4
+
+
+def test_cut_restarts_a_tier_up_only_after_the_cancelled_outcome():
+    """A cut job is restarted while its first attempt may still run: both would take slots."""
+    d = dispatcher()
+    d.listed(10, True, rows(1, 2, 3, 4))
+    d.cutoffs.in_force, d.cutoffs.slots_freed, d.cutoffs.next_fit = [500], 9, 10**9
+    d.endpoints.assign_tiers(0.5)
+    low = {e.id for e in d.endpoints.healthy if e.tier == 0}
+    d.taken(10, 5, "op", None, 50_000, 1_000, 1)
+    first = pull(d, 10, Forward)[0].endpoint_id
+    assert first in low
+    d.started(20, 5, 0)
+    assert pull(d, 500) == []
+    cuts = pull(d, 530)
+    assert cuts == [Cancel(5, 0)] and isinstance(cuts[0], Cancel)
+    assert pull(d, 600) == []
+    d.ended(610, 5, 0, Outcome.CANCELLED, False)
+    again = pull(d, 610, Forward)
+    assert len(again) == 1 and again[0][2] not in low and d.cutoffs.cut_sizes
+
+
+def test_score_against_figures_worked_by_hand():
+    for a in (1.0, 2.0):  # the log forms are the limits of the power forms
+        for j in (1, 2):
+            below, above = BoundedPareto(1, 100, a - 1e-4), BoundedPareto(1, 100, a + 1e-4)
+            near = (below.partial_moment(j, 1, 100) + above.partial_moment(j, 1, 100)) / 2
+            assert isclose(BoundedPareto(1, 100, a).partial_moment(j, 1, 100), near, rel_tol=1e-3)
+    law = BoundedPareto(1, 100, 1.0)
+    assert isclose(law.partial_moment(1, 1, 100), log(100) / 0.99)
+    # One worker, B(1, 100, 1), load 1/2: W = lambda E[X^2] / (2 (1 - 1/2)) with E[X^2] = 100.
+    rate = 0.5 * 0.99 / log(100)
+    workload, single, double = Workload(rate), [Tier(1, 1.0)], [Tier(1, 1.0), Tier(1, 1.0)]
+    assert isclose(mean_wait(law, [], single, workload), rate * 100, rel_tol=1e-9)
+    # Cut at 10: tier 1 sees E = (ln 10 + .9)/.99, E2 = (9 + 9)/.99; tier 2 a part 0.09/0.99 of the jobs.
+    one, two, up = (log(10) + 0.9) / 0.99, 18 / 0.99, 0.09 / 0.99
+    wait1 = rate * two / 2 / (1 - rate * one)
+    wait2 = rate * 90 / 0.99 / 2 / (1 - rate * log(10) / 0.99)
+    wanted = wait1 * (1 - up) + (wait1 + 10 + wait2) * up
+    assert isclose(mean_wait(law, [10], double, workload), wanted, rel_tol=1e-9)
+    assert mean_wait(law, [], single, Workload(rate * 2.1)) == inf
+    kept = mean_wait(law, [10], double, Workload(rate, ineffective_cancels=1.0))
+    assert kept > wanted  # cancels that free nothing cost
+
+
+def test_fit_recovers_its_law_with_and_without_cuts():
+    for alpha in (0.6, 1.0, 1.4):
+        chance = random.Random(5)
+        sizes = [(1 - chance.random() * (1 - 1000**-alpha)) ** (-1 / alpha) for _ in range(3000)]
+        assert abs(bounded_pareto.fit(sizes).shape - alpha) < 0.1
+        below = [x for x in sizes if x <= 300] + [1000.0]
+        assert abs(bounded_pareto.fit(below, [300] * (len(sizes) - len(below))).shape - alpha) < 0.1
+
+
+def test_search_keeps_its_bounds_and_turns_to_random_when_cancels_free_nothing():
+    """Cancels free nothing: then cutting only costs, and the search has to end with random spread."""
+    for kept in (0, 50):
+        d = dispatcher()
+        d.listed(10, True, rows(*range(1, 9)))
+        c, chance = d.cutoffs, random.Random(3)
+        c.finished_sizes = [100 / (1 - chance.random() * 0.999) ** 1.0 for _ in range(400)]
+        c.slots_kept, c.uncuttable = kept, 0.0
+        for _ in range(300):
+            c.arrivals.add(99_000)
+        c.step(10, d.endpoints)
+        for now in range(100_010, 100_400):
+            c.step(now, d.endpoints)
+            assert all(c.distribution.smallest <= cut[0] <= c.distribution.largest for cut in c.population)
+        assert (c.in_force is None) == bool(kept), c.summary
--- /dev/null
+++ b/tests/test_probing.py
@@ -0,0 +1,194 @@
+"""Probes and what is learnt from load reports."""
+
+from types import SimpleNamespace
+
+from helpers import dispatcher, pull, rows
+
+from grebedyke.model.actions import Forward, Probe, Throttle
+
+
+def test_where_own_answers_are_sparse_one_is_probed_and_passed_over_when_full():
+    """Hundreds of nodes send each executor next to nothing: without a probe each would send blindly."""
+    for report, taken in (((3, 1), True), ((0, 43), False)):
+        d = dispatcher(nodes=200, probes=True)
+        d.listed(10, True, rows(1, 2, 3, 4))
+        d.taken(10, 5, "op", None, 50_000, 1_000, 1)
+        asked = [x.endpoint_id for x in pull(d, 10, Probe)]
+        assert len(asked) == 1 and not pull(d, 15)
+        d.probed(20, asked[0], "ok", *report)
+        assert [x.endpoint_id for x in pull(d, 20, Forward)] == asked * taken
+
+
+def test_when_all_probed_are_full_the_answer_comes_soon():
+    """All executors are full: what cannot end in time has to be answered while its client can act."""
+    d = dispatcher(nodes=200, probes=True, back=20_000)
+    d.listed(10, True, rows(1, 2, 3, 4))
+    d.taken(10, 5, "op", None, 50_000, 1_000, 1)
+    seen = {}
+    for now in range(10, 400, 10):
+        for x in pull(d, now):
+            seen.setdefault(type(x), now)
+            if isinstance(x, Probe):
+                d.probed(now, x.endpoint_id, "ok", 0, 90)
+    assert set(seen) == {Probe, Throttle}
+
+
+def test_late_starts_in_the_own_zone_send_a_part_to_others():
+    """A zone gets more than its executors can carry, while other zones have room."""
+    for wait, more in ((2_000, True), (0, False)):
+        d, abroad = dispatcher(nodes=200, cross=0.1, probes=True), 0
+        d.listed(10, True, rows(1) + rows(2, zone="b"))
+        for i in range(40):
+            f = SimpleNamespace(
+                sent_at=10_000 * i,
+                opened_connection=False,
+                expected_wait=0,
+                had_free_slot=None,
+                reported_wait=0,
+            )
+            d.endpoints.by_id[1].start_floors = [0, 0]
+            d.endpoints.on_start(d.endpoints.by_id[1], f.sent_at + wait, f, wait)
+        for i in range(40):
+            now = 500_000 + 10_000 * i
+            d.endpoints.by_id[1].ejected_until = d.endpoints.by_id[1].probe_sent_at = d.endpoints.by_id[
+                2
+            ].probe_sent_at = 0
+            d.taken(now, i, "op", None, now + 50_000, 1_000, 1)
+            abroad += pull(d, now, Probe) == [Probe(2)]
+            d.left(now, i)
+        assert (abroad > 20) == more
+
+
+def test_when_own_work_starts_late_one_refusal_is_enough():
+    """Under overload all nodes probe twice for each request: the probes become a load of their own."""
+    for late, asked in ((1.0, 1), (0.0, 2)):
+        d = dispatcher(nodes=200, probes=True, back=20_000)
+        d.listed(10, True, rows(1, 2) + rows(3, 4, zone="b"))
+        d.endpoints.lateness.at_home, d.endpoints.load.slots_by_kind = late, {"std": 4}
+        d.taken(10, 5, "op", None, 50_000, 1_000, 1)
+        for _ in range(asked):
+            ((id,),) = pull(d, 20, Probe)
+            d.probed(20, id, "ok", 0, 90)
+        assert [type(x) for x in pull(d, 20)] == [Throttle]
+
+
+def test_a_short_reported_queue_is_worked_off_before_the_work_arrives():
+    """A reported short queue is gone by the time work arrives: all nodes would leave for nothing."""
+    for held, taken in ((5, True), (40, False)):
+        d = dispatcher(nodes=200, probes=True)
+        d.listed(10, True, rows(1))
+        d.endpoints.load.slots_by_kind["std"] = 4
+        d.taken(10, 5, "op", None, 50_000, 4_000, 1)
+        probes = pull(d, 10, Probe) or pull(d, 10, Probe)
+        d.probed(20, probes[0].endpoint_id, "ok", 0, held)
+        assert bool(pull(d, 20, Forward)) == taken
+
+
+def test_a_free_slot_before_a_queue_is_not_taken_for_room():
+    """The head of a queue that needs two slots leaves one free.
+
+    Slots free and jobs held, 1 + 20, passed for the executor's slots from then on, and no reported queue
+    for a wait.
+    """
+    for wide, wait in ((1, 11_000), (2, 15_000)):
+        d = dispatcher(nodes=200, probes=True)
+        d.listed(10, True, rows(1))
+        d.taken(10, 5, "op", None, 50_010, 5_000, wide)
+        # Noise as well: the most of what such reports add up to was six slots and more.
+        for free, held in ((4.0, 0.0), *[(2.0, 1.2), (3.6, 1.2), (4.4, 1.0)] * 9, (1.0, 20.0), (0.0, 20.0)):
+            d.probed(20, 1, "ok", free, held)
+        assert (
+            d.endpoints.load.slots_by_kind["std"] < (7 if wide == 1 else 5.5)
+            and d.endpoints.by_id[1].expected_wait > wait
+        )
+
+
+def test_another_report_is_asked_for_as_far_as_reports_tell_and_the_least_wait_is_taken():
+    """Where reports tell when work starts a second one finds the shorter queue; else it is wasted."""
+    for at_once, asks in (([0.0, 1.0], True), ([0.6, 0.6], False)):
+        asked = 0
+        for seed in range(20):
+            d = dispatcher(nodes=40, probes=True, seed=seed)
+            d.listed(10, True, rows(*range(8)))
+            load = d.endpoints.load
+            load.when_full.share, load.when_free.share = at_once
+            load.slots_by_kind = {"std": 4.0}
+            d.taken(10, 5, "op", None, 50_010, 1_000, 1)
+            (first,) = [x.endpoint_id for x in pull(d, 10, Probe)]
+            d.probed(20, first, "ok", 0.0, 5.0)
+            decided = pull(d, 20)
+            if isinstance(decided[0], Probe):
+                asked += 1
+                other = decided[0].endpoint_id
+                assert pull(d, 25) == []  # its answer is waited for
+                d.probed(30, other, "ok", 2.0, 2.0)
+                decided = pull(d, 30)
+                assert decided[0].endpoint_id == other
+            assert isinstance(decided[0], Forward)
+        assert (asked == 20) == asks and (asked > 0) == asks
+
+
+def test_what_ages_off_a_reported_queue_is_learnt_from_how_often_it_is_gone():
+    """A fixed quarter second, right for reports a second old, passed queues over where they are fresh."""
+    waits = []
+    for gone in (0, 1):
+        d = dispatcher(nodes=40, probes=True)
+        d.listed(10, True, rows(1))
+        d.endpoints.load.mean_work, d.endpoints.load.slots_by_kind = 5_000, {"std": 4.0}
+        for i in range(40):
+            for told in (False, True):
+                f = SimpleNamespace(
+                    sent_at=10_000 * i,
+                    opened_connection=False,
+                    expected_wait=0,
+                    had_free_slot=told,
+                    reported_wait=3_000 * (not told),
+                )
+                took = 20 if told or gone else 3_000
+                d.endpoints.on_start(d.endpoints.by_id[1], f.sent_at + took, f, took)
+        d.probed(500_000, 1, "ok", 0.0, 8.0)
+        waits.append(d.endpoints.by_id[1].expected_wait)
+    assert waits[0] > 4_000 and waits[1] == 0
+
+
+def test_waiting_shows_though_each_executor_is_hardly_known():
+    """A node sees few starts of each executor: its first, taken for its least, would hide all waits."""
+    d = dispatcher(nodes=40, probes=True)
+    d.listed(10, True, rows(*range(20)))
+    for i in range(20):
+        f = SimpleNamespace(
+            sent_at=10_000 + i, opened_connection=False, expected_wait=0, had_free_slot=None, reported_wait=0
+        )
+        took = 20 if i == 0 else 3_000
+        d.endpoints.on_start(d.endpoints.by_id[i], f.sent_at + took, f, took)
+    assert d.endpoints.lateness.excess > 2_000 and d.endpoints.lateness.at_home > 0.8
+
+
+def test_what_late_starts_taught_is_forgotten_when_nothing_is_sent_any_more():
+    """A node that has learnt of long waits sends nothing, so that no start teaches it otherwise.
+
+    It throttled all that came for the rest of a day, while each report had slots free and its neighbours'
+    work began at once.
+    """
+    for still, end in ((0, Throttle), (0.9, Throttle), (4, Forward), (60, Forward)):
+        d, done = dispatcher(nodes=6, probes=True), []
+        d.listed(10, True, rows(*range(12)))
+        for i in range(12):
+            f = SimpleNamespace(
+                sent_at=100_000 + i,
+                opened_connection=False,
+                expected_wait=0,
+                had_free_slot=None,
+                reported_wait=0,
+            )
+            took = 20 if i == 0 else 12_000
+            d.endpoints.on_start(d.endpoints.by_id[i], 112_000, f, took)
+            d.endpoints.by_id[i].ejected_until = 0
+        start = 112_000 + int(still * 10_000)
+        d.taken(start, 5, "op", None, start + 50_000, 1_000, 1)
+        for now in range(start, start + 4_000, 10):
+            for action in pull(d, now):
+                done.append(type(action))
+                if isinstance(action, Probe):
+                    d.probed(now, action.endpoint_id, "ok", 4.0, 0.0)
+        assert Probe in done and end in done, (still, done)
