--- a/grebedyke/service/configuration/__init__.py
+++ b/grebedyke/service/configuration/__init__.py
@@ -4,8 +4,9 @@
 """
 
 from grebedyke.errors import ConfigurationError
+from grebedyke.service.configuration.dispatcher_settings import open_dispatcher
 from grebedyke.service.configuration.reading import all_keys, in_force, parse, parse_plain, read_node
-from grebedyke.service.configuration.terms import open_dispatcher, terms
+from grebedyke.service.configuration.terms import terms
 
 __all__ = [
     "ConfigurationError",
