--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -10,11 +10,12 @@
 from loguru import logger
 from test_service import EFFECTS, ROW, TERMS, Executor, free_port, one_answer, told
 
+from grebedyke.model.actions import Fail, Forward, Throttle
 from grebedyke.model.outcome import Effect, Outcome
 from grebedyke.policy.retry_budget import FOREVER, RetryBudget
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import assemble
-from grebedyke.service.switch import switch
+from grebedyke.service.reload import reload
 
 WINDOW = 50_000  # ticks
 
@@ -65,7 +66,7 @@
 
 @pytest.mark.parametrize(
     ("effect", "answer"),
-    ((Effect.IDEMPOTENT, "throttle"), (Effect.KEYED, "error"), (Effect.NON_IDEMPOTENT, "throttle")),
+    ((Effect.IDEMPOTENT, Throttle), (Effect.KEYED, Fail), (Effect.NON_IDEMPOTENT, Throttle)),
 )
 def test_no_retry_beyond_it_and_an_answer_at_once(effect, answer):
     """A request that may not be retried for want of budget would wait in vain until its client gives up.
@@ -76,11 +77,11 @@
     outcome = Outcome.REJECTED if effect == Effect.NON_IDEMPOTENT else Outcome.TIMEOUT
     d = dispatcher(effect, budget=Terms(1, 0, WINDOW), back=20_000)
     d.listed(10, True, rows(1, 2, 3, 4))
-    for now, id, wanted in ((20, 1, "forward"), (900, 2, answer)):
+    for now, id, wanted in ((20, 1, Forward), (900, 2, answer)):
         d.taken(now, id, "op", None, now + 50_000, 1_000, 1)
-        assert [x[0] for x in pull(d, now)] == ["forward"]
+        assert [type(action) for action in pull(d, now)] == [Forward]
         d.ended(now + 10, id, 0, outcome, False)
-        assert [x[0] for x in pull(d, now + 10)] == [wanted]
+        assert [type(action) for action in pull(d, now + 10)] == [wanted]
 
 
 def assert_within_budget(now, terms, requests, retries):
@@ -146,11 +147,9 @@
 
     def judge(self):
         """Carries out what the node decides; each retry has to be within the budget."""
-        for kind, *rest in pull(self.dispatcher, self.now):
-            if kind != "forward":
-                continue
-            number = len(self.dispatcher.requests[rest[0]].attempts) - 1
-            self.open_attempts.append((rest[0], number))
+        for action in pull(self.dispatcher, self.now, Forward):
+            number = len(self.dispatcher.requests[action.request_id].attempts) - 1
+            self.open_attempts.append((action.request_id, number))
             if number > 0:
                 self.retries.append(self.now)
                 if self.terms.window:
@@ -170,7 +169,7 @@
     def reload(self):
         """Other settings: shorter, longer, none or again some; what went before is in the window."""
         self.terms = self.random.choice(self.RELOADED_TERMS)
-        switch(self.now, self.dispatcher, dispatcher(budget=self.terms))
+        reload(self.now, self.dispatcher, dispatcher(budget=self.terms))
 
     def hand_over(self):
         """A new process goes on; what is open ends at the old one, which sends no retry any more."""
@@ -178,7 +177,7 @@
         state = orjson.loads(orjson.dumps(old.retry_budget.export_state()))
         for request, number in self.open_attempts:
             old.ended(self.now, request, number, Outcome.REJECTED, False)
-        sent = {id for _, id, *_ in pull(old, self.now, "forward")}
+        sent = {action.request_id for action in pull(old, self.now, Forward)}
         assert not self.terms.window or not any(len(old.requests[id].attempts) > 1 for id in sent)
         self.open_attempts = []
         self.dispatcher = dispatcher(budget=self.terms)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -30,11 +30,23 @@
 if __name__ == "__main__":
     sys.path.insert(0, str(Path(__file__).parent.parent))
 
+import helpers
+
 from grebedyke import errors
 from grebedyke.checks import checked
 from grebedyke.consensus import framing, records
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.maintenance.maintenance import Maintenance
+from grebedyke.model.events import AttemptEnded, PeerMessageReceived, RequestArrived
+from grebedyke.model.outcome import Outcome
+from grebedyke.model.peer_messages import (
+    SlotDenial,
+    SlotGrant,
+    SlotProgressed,
+    SlotReleased,
+    SlotRequest,
+    SlotStarted,
+)
 from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.rig import limited, world
 from grebedyke.service import configuration
@@ -42,7 +54,7 @@
 from grebedyke.service.configuration.reading import NODE
 from grebedyke.service.handover import Channel
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire import words
+from grebedyke.wire import peer_codec
 from grebedyke.wire.discovery import entries
 
 GOLDEN = Path(__file__).parent / "data" / "golden"
@@ -51,25 +63,45 @@
 # Everything that depends on names inside the package.
 
 
+PEER_MESSAGES = {
+    "ask": SlotRequest,
+    "lend": SlotGrant,
+    "none": SlotDenial,
+    "began": SlotStarted,
+    "news": SlotProgressed,
+    "end": SlotReleased,
+}
+
+
 def pack_datagram(kind, number, *figures):
-    return words.pack(kind, number, *figures)
+    return peer_codec.encode(PEER_MESSAGES[kind](number, *figures))
 
 
 def unpack_datagram(body):
-    return words.unpack(body)
+    message = peer_codec.decode(body)
+    if message is None:
+        return None
+    kind = next(kind for kind, type_ in PEER_MESSAGES.items() if type(message) is type_)
+    return (kind, *message)
 
 
 def deliver_datagram(sender, body):
-    """The arguments of the call that a datagram becomes at the dispatcher of node 1 of 3."""
+    """What a datagram comes to at the rules of node 1 of 3, each as one list of figures."""
     calls = []
-
-    class Dispatcher:
-        uses_coordinators, endpoints = True, SimpleNamespace(node_number=1, node_count=3)
-
-        def __getattr__(self, name):
-            return lambda *arguments: calls.append(arguments)
-
-    words.deliver(Dispatcher(), 1_000, sender, body)
+    node = helpers.dispatcher(nodes=3, me=1, split=1)
+    node._peer_handlers |= {
+        SlotRequest: lambda now, by, message: calls.append((now, (by, message.number), *message[1:])),
+        SlotGrant: lambda now, by, message: calls.append((now, by, *message)),
+        SlotDenial: lambda now, by, message: calls.append((now, *message)),
+    }
+    node.tracking = SimpleNamespace(
+        started=lambda now, event, start_delay: calls.append((now, *event, start_delay)),
+        progressed=lambda now, event: calls.append((now, *event)),
+        ended=lambda now, event: calls.append((now, *event)),
+    )
+    message = peer_codec.decode(body)
+    if message is not None:
+        node.handle(1_000, PeerMessageReceived(sender, message))
     return calls
 
 
@@ -225,14 +257,16 @@
         dispatcher, now = self.node.desk.dispatcher, self.NOW
         for i, operation in enumerate(["op", "safe", "op", "safe"]):
             id = b"r%d" % i
-            dispatcher.taken(now + i * TICKS_PER_SECOND, id, operation, "t", now + 90_000, 0, 1)
+            request = RequestArrived(id, operation, "t", now + 90_000, 0, 1)
+            dispatcher.handle(now + i * TICKS_PER_SECOND, request)
             self.decisions(now + i * TICKS_PER_SECOND)
-            dispatcher.ended(now + i * TICKS_PER_SECOND + 5, id, 0, "no connection", False, None)
+            end = AttemptEnded(id, 0, Outcome.CONNECT_FAILED, False, None)
+            dispatcher.handle(now + i * TICKS_PER_SECOND + 5, end)
             self.decisions(now + i * TICKS_PER_SECOND + 5)
         self.node.desk.by_hand(now, "s-2", True)
 
     def decisions(self, now):
-        return [*iter(partial(self.node.desk.dispatcher.decide, now), None)]
+        return [*iter(partial(self.node.desk.dispatcher.next_action, now), None)]
 
     def books(self):
         return self.node.desk.books()
@@ -294,7 +328,7 @@
     return json.loads((GOLDEN / f"{name}.json").read_bytes())
 
 
-# Datagrams of wire/words.py.
+# Datagrams of wire/peer_codec.py.
 
 OUTCOMES = ("ok", "fault", "full", "timeout", "no connection", "reset", "cancelled", "moot")
 DATAGRAMS = [
