--- a/grebedyke/policy/admission.py
+++ b/grebedyke/policy/admission.py
@@ -79,7 +79,8 @@
             origin_node=origin_node,
         )
         context.requests[request.id] = request
-        endpoints.load.widest_request = max(endpoints.load.widest_request, request.slots)
+        load = endpoints.load
+        load.widest_request = max(load.widest_request, request.slots)
         # A client's repeat keeps the deadline of its first try: the longest timeout shows when that came. A
         # client that allows little time looks the same; its requests would only end late.
         operation.longest_timeout = max(operation.longest_timeout, request.deadline - now)
@@ -94,6 +95,6 @@
         context.retry_budget.requests.add(now)
         context.endpoints.load.on_request(request.estimated_work)
         # Without start notices nothing shows what a cut gives back.
-        shows_effect = capabilities.cancels and capabilities.start_notices
-        may_be_cut = request.operation.effect == Effect.IDEMPOTENT and shows_effect
+        cuts_are_known = capabilities.cancels and capabilities.start_notices
+        may_be_cut = request.operation.effect == Effect.IDEMPOTENT and cuts_are_known
         context.cutoffs.on_arrival(now, may_be_cut)
--- a/grebedyke/policy/attempt_tracking.py
+++ b/grebedyke/policy/attempt_tracking.py
@@ -80,9 +80,9 @@
             self._queue.add(request)
 
     def _learn_slots(self, attempt, free_slots):
-        """Gives credit by the free slots that were reported with the end of an attempt."""
-        endpoint = attempt.endpoint
+        """Without start notices credit is learnt from the slots that reports show free."""
         endpoints = self._context.endpoints
+        endpoint = attempt.endpoint
         wanted = endpoint.slots_in_use + attempt.request.slots if self._queue.waiting else 0
         endpoints.credit.on_free_slots(endpoint, free_slots, wanted, endpoints.load.slots_by_kind)
 
--- a/grebedyke/policy/cutting.py
+++ b/grebedyke/policy/cutting.py
@@ -54,8 +54,8 @@
         if not endpoint.cut_at or attempt.sent_at >= endpoint.cut_at:
             return
         allowance = FREED_WITHIN_INTERVALS * self._context.settings.scheduling_interval
-        least = endpoint.start_floors[attempt.opened_connection]
-        self._context.cutoffs.on_cancel_observed(now, now - endpoint.cut_at <= least + allowance)
+        slot_freed = now - endpoint.cut_at <= endpoint.start_floors[attempt.opened_connection] + allowance
+        self._context.cutoffs.on_cancel_observed(now, slot_freed)
         endpoint.cut_at = 0
 
     def _pays(self, attempt, now):
--- a/grebedyke/policy/dispatcher.py
+++ b/grebedyke/policy/dispatcher.py
@@ -104,10 +104,9 @@
         if self.list_polling.is_due(now):
             yield PollEndpointList()
         if context.cutoffs.step(now, context.endpoints):
-            context.endpoints.assign_tiers(
-                context.cutoffs.top_tier_share if context.cutoffs.in_force else 0.0
-            )
-            yield Note(context.cutoffs.summary)
+            cutoffs = context.cutoffs
+            context.endpoints.assign_tiers(cutoffs.top_tier_share if cutoffs.in_force else 0.0)
+            yield Note(cutoffs.summary)
         yield from self.cutting.due(now)
         for attempt in self.lending.expired(now):
             self.tracking.ended(now, AttemptEnded(attempt.request.id, attempt.index, Outcome.TIMEOUT, True))
@@ -129,9 +128,7 @@
         return self.list_polling.poll_at or inf, soon if cutting else inf
 
     def _on_probe_answered(self, now, event):
-        self.context.endpoints.on_probe_answer(
-            now, event.endpoint_id, event.outcome, event.free_slots, event.held_work
-        )
+        self.context.endpoints.on_probe_answer(now, *event)
 
     def _on_client_left(self, now, event):
         request = self.context.requests.get(event.request_id)
--- a/grebedyke/service/reload.py
+++ b/grebedyke/service/reload.py
@@ -18,8 +18,8 @@
     )
     _shorten_waits(dispatcher, fresh.context.settings)
     _adopt_operations(dispatcher.context.settings, fresh.context.settings)
-    dispatcher.cutoffs.adopt_settings(fresh.cutoffs)
     endpoints.adopt_settings(fresh.endpoints)
+    dispatcher.cutoffs.adopt_settings(fresh.cutoffs)
     dispatcher.quotas.adopt_settings(fresh.quotas)
     dispatcher.retry_budget.adopt_settings(fresh.retry_budget, now)
     dispatcher.context.settings = fresh.context.settings._replace(
