--- a/grebedyke/policy/admission.py
+++ b/grebedyke/policy/admission.py
@@ -30,7 +30,7 @@
         self._count(now, request)
         self._queue.add(request)
         limits = context.quotas.limits
-        if limits and (retry_after := limits.take(now, request)):
+        if limits and (retry_after := limits.try_acquire(now, request)):
             request.latest_start = now
             request.retry_after = retry_after
 
--- a/grebedyke/rig/simulated.py
+++ b/grebedyke/rig/simulated.py
@@ -16,7 +16,7 @@
 from grebedyke.rig.taps import Asked, operation, weighed
 from grebedyke.rig.world import Host, World
 from grebedyke.service import configuration
-from grebedyke.service.fleet import parts_of
+from grebedyke.service.fleet_assembly import build_components
 from grebedyke.units import TICKS_PER_SECOND
 
 TICK = TICKS_PER_SECOND // 5
@@ -28,7 +28,7 @@
     def __init__(self, world, me):
         super().__init__(world, me)
         self.counts, self.took, self.inside, self.number = [0, 0, 0, 0], 0, False, 0
-        self.whole = framing.Whole(world.mark)
+        self.whole = framing.Reassembler(world.mark)
 
     def timed(self, call, *args):
         if self.inside:
@@ -58,7 +58,7 @@
     """`run`: the scale run whose fleet it is, of hollow nodes only."""
 
     def __init__(self, run):
-        self.run_of, self.mark = run, framing.mark(f"scale {run.seed}")
+        self.run_of, self.mark = run, framing.fleet_tag(f"scale {run.seed}")
         self.said = said_of(run)
         super().__init__(
             run.seed, nodes=run.count, voters=len(run.voters), executors=run.executors, faults=0, drift=0.0
@@ -70,7 +70,7 @@
 
     def parts_for(self, host):
         settings = {**self.said["settings"], "me": host.me}
-        return parts_of({**self.said, "settings": settings}, host.life + 2**55, host.clock())
+        return build_components({**self.said, "settings": settings}, host.life + 2**55, host.clock())
 
     def learned(self, node, key, value):
         """Judged in the rounds of `torture`, not here."""
@@ -96,15 +96,15 @@
         self.later(int(every * (0.5 + self.chance.draw())) + 1, self.ask, host, every, hold)
         if not host.alive:
             return
-        gate = host.parts[-1].gate
+        limiter = host.parts[-1].request_limiter
         for tenant in self.wants[host.me]:
             inv = Asked(self.operation, tenant)
-            if not gate.take(host.clock(), inv) and inv in gate.open:
-                self.later(int(hold * (0.1 + 0.85 * self.chance.draw())), gate.give, inv)
+            if not limiter.try_acquire(host.clock(), inv) and inv in limiter.acquired_slots:
+                self.later(int(hold * (0.1 + 0.85 * self.chance.draw())), limiter.release, inv)
         host.pull()
 
     def holder(self):
-        return next((h.me for h in self.hosts if h.alive and h.parts[-1].holds()), None)
+        return next((h.me for h in self.hosts if h.alive and h.parts[-1].election.is_holder()), None)
 
     def led(self):
         """As in the run: the second voter holds the limits, the first one drives."""
@@ -125,7 +125,7 @@
         self.later(TICK, self.operate)
         host = self.hosts[-1]
         part = host.parts[1]
-        told = part.state(host.clock())
+        told = part.status(host.clock())
         if not told["plan"] and told["sure"]:
             self.plans += 1
             plan = {
@@ -135,7 +135,9 @@
                 "leastShare": 0.5,
                 "id": f"plan-{self.plans}",
             }
-            part.called(host.clock(), lambda status, text: None, b"POST", b"/v1/maintenance/plan", plan)
+            part.operator_call(
+                host.clock(), lambda status, text: None, b"POST", b"/v1/maintenance/plan", plan
+            )
         free = [row for row in told["machines"] if row["state"] == "free"]
         for i, row in enumerate((row for row in free if row["number"] not in self.worked), 1):
             # One after another, as the hands of a run's operators work.
@@ -145,7 +147,7 @@
         host.pull()
 
     def back(self, host, path):
-        host.parts[1].called(host.clock(), lambda status, text: None, b"POST", path, None)
+        host.parts[1].operator_call(host.clock(), lambda status, text: None, b"POST", path, None)
         host.pull()
 
 
@@ -186,8 +188,14 @@
     rows = []
     for host, (counts, took) in zip(world.hosts, start, strict=True):
         per = [(a - b) * TICKS_PER_SECOND / span for a, b in zip(host.counts, counts, strict=True)]
-        votes = "holder" if host.parts[-1].holds() else "voter" if host.parts[0].votes() else "other"
-        objects, size = weighed(host)
+        votes = (
+            "holder"
+            if host.parts[-1].election.is_holder()
+            else "voter"
+            if host.parts[0].is_voting()
+            else "other"
+        )
+        objects, size = weighed(host.parts, host.whole)
         rows.append(
             {
                 "node": host.me,
@@ -210,4 +218,4 @@
 
 
 def rev(world):
-    return max((host.parts[1].board or {"rev": 0})["rev"] for host in world.hosts)
+    return max(host.parts[1].rollout.revision for host in world.hosts)
