--- a/benchmarks/cold_round.py
+++ b/benchmarks/cold_round.py
@@ -82,8 +82,8 @@
 
     def update_list(self, now, replaces_all, rows):
         """Tells the dispatcher of the list or a change of it."""
-        for id, *_, started_at, _weight in rows:
-            self.known_starts[id] = max(started_at, self.known_starts.get(id, 0))
+        for row in rows:
+            self.known_starts[row.id] = max(row.started_at, self.known_starts.get(row.id, 0))
         self.dispatcher.handle(now, EndpointsChanged(replaces_all, rows))
 
 
@@ -215,7 +215,7 @@
         hint = work * TICKS_PER_SECOND * self.random.uniform(0.7, 1.4) if settings.hints else 0
         operation = "long" if is_long else "short"
         deadline = self.now + CLIENT_TIMEOUT
-        event = RequestArrived(request_id, operation, None, deadline, hint, 1)
+        event = RequestArrived(request_id, operation, None, deadline, hint, slots=1)
         self.nodes[number].dispatcher.handle(self.now, event)
         self._wake_soon(number)
 
@@ -230,19 +230,19 @@
         node = self.nodes[number]
         while (action := node.dispatcher.next_action(self.now)) is not None:
             if isinstance(action, Forward):
-                self._send(node, *action)
+                self._send(node, action)
             elif isinstance(action, Probe):
                 self._after(2 * TRANSIT_TIME, self._answer_probe, node, action.endpoint_id)
             elif isinstance(action, WakeAt):
                 self._at(max(action.at, self.now + 1), self._wake, node)
 
-    def _send(self, node, request_id, executor_id, timeout):
+    def _send(self, node, action):
         """Sends an attempt on its way."""
-        attempt = len(node.dispatcher.requests[request_id].attempts) - 1
-        job = Job(node, request_id, attempt)
-        known_start = node.known_starts.get(executor_id, 0)
-        self._after(TRANSIT_TIME, self._reach_executor, job, executor_id, known_start)
-        self._after(max(timeout, 1), self._end_attempt, job, Outcome.TIMEOUT, False)
+        attempt = len(node.dispatcher.requests[action.request_id].attempts) - 1
+        job = Job(node, action.request_id, attempt)
+        known_start = node.known_starts.get(action.endpoint_id, 0)
+        self._after(TRANSIT_TIME, self._reach_executor, job, action.endpoint_id, known_start)
+        self._after(max(action.timeout, 1), self._end_attempt, job, Outcome.TIMEOUT, False)
 
     def _wake(self, node):
         """Wakes a node at the time that it has asked for."""
@@ -250,30 +250,28 @@
             self._wake_soon(node.number)
 
     def _end_attempt(self, job, outcome, request_closed, free_slots=None):
-        """Tells a node how an attempt ended; a life that is over hears nothing."""
-        if job.node is self.nodes[job.node.number]:
-            event = AttemptEnded(job.request_id, job.attempt, outcome, request_closed, free_slots)
-            job.node.dispatcher.handle(self.now, event)
-            self._wake_soon(job.node.number)
-
-    def _tell_start(self, job):
-        """Tells a node that a job began to run."""
-        if job.node is self.nodes[job.node.number]:
-            job.node.dispatcher.handle(self.now, AttemptStarted(job.request_id, job.attempt))
-            self._wake_soon(job.node.number)
+        """Reports to a node how an attempt ended."""
+        event = AttemptEnded(job.request_id, job.attempt, outcome, request_closed, free_slots)
+        self._report(job.node, event)
+
+    def _report_start(self, job):
+        """Reports to a node that a job began to run."""
+        self._report(job.node, AttemptStarted(job.request_id, job.attempt))
+
+    def _report(self, node, event):
+        """Reports an event to a node; one that has restarted meanwhile hears nothing."""
+        if node is self.nodes[node.number]:
+            node.dispatcher.handle(self.now, event)
+            self._wake_soon(node.number)
 
     def _answer_probe(self, node, executor_id):
-        """Tells a node what its probe found."""
-        if node is not self.nodes[node.number]:
-            return
+        """Reports to a node what its probe found."""
         executor = self.executors.get(executor_id)
         if executor and executor.is_up:
-            free, jobs = executor.reported_free, executor.reported_jobs
-            answer = ProbeAnswered(executor_id, Outcome.SUCCEEDED, free, jobs)
+            figures = executor.reported_free, executor.reported_jobs
+            self._report(node, ProbeAnswered(executor_id, Outcome.SUCCEEDED, *figures))
         else:
-            answer = ProbeAnswered(executor_id, Outcome.CONNECT_FAILED)
-        node.dispatcher.handle(self.now, answer)
-        self._wake_soon(node.number)
+            self._report(node, ProbeAnswered(executor_id, Outcome.CONNECT_FAILED))
 
     # Executors.
 
@@ -325,7 +323,7 @@
     def _on_started(self, executor, job):
         """A job began to run: plans its end."""
         if self.settings.tells_start:
-            self._after(TRANSIT_TIME, self._tell_start, job)
+            self._after(TRANSIT_TIME, self._report_start, job)
         ends = next(running.ends for running in executor.worker.running if running.id == job)
         self._at(ends * TICKS_PER_SECOND + 1, self._finish_jobs, executor, executor.started_at)
 
@@ -369,11 +367,10 @@
 
     def _update_list(self, number, row):
         """A node hears of a change; one that has restarted meanwhile had the whole list already."""
-        id, *_, state, _started_at, _weight = row
         node = self.nodes[number]
-        executor = self.executors.get(id)
-        is_back = executor and executor.is_up and node.known_starts.get(id, 0) >= executor.started_at
-        if state == "gone" and is_back:
+        executor = self.executors.get(row.id)
+        is_back = executor and executor.is_up and node.known_starts.get(row.id, 0) >= executor.started_at
+        if row.state == "gone" and is_back:
             return
         node.update_list(self.now, False, [row])
         self._wake_soon(number)
