--- a/tests/test_cutting.py
+++ b/tests/test_cutting.py
@@ -14,37 +14,37 @@
 
 def test_trial_cuts_are_few_until_their_effect_is_known():
     """Cancels may free nothing: cutting at large until that is known would waste a whole refit interval."""
-    d = dispatcher()
-    d.listed(10, True, rows(1, 2))
-    d.cutoffs.in_force, d.cutoffs.next_fit = [500], 10**9
-    for e in d.endpoints.healthy:
-        e.credit = 40.0
+    node = dispatcher()
+    node.listed(10, True, rows(1, 2))
+    node.cutoffs.in_force, node.cutoffs.next_fit = [500], 10**9
+    for endpoint in node.endpoints.healthy:
+        endpoint.credit = 40.0
     for i in range(40):
-        d.taken(10, i, "op", None, 90_000, 1_000, 1)
-    sent = pull(d, 10, Forward)
+        node.taken(10, i, "op", None, 90_000, 1_000, 1)
+    sent = pull(node, 10, Forward)
     for id, _, _ in sent[:20]:
-        d.started(20, id, 0)
-    assert 0 < len(pull(d, 700, Cancel)) <= 4
+        node.started(20, id, 0)
+    assert 0 < len(pull(node, 700, Cancel)) <= 4
 
 
 def test_cut_restarts_a_tier_up_only_after_the_cancelled_outcome():
     """A cut job is restarted while its first attempt may still run: both would take slots."""
-    d = dispatcher()
-    d.listed(10, True, rows(1, 2, 3, 4))
-    d.cutoffs.in_force, d.cutoffs.slots_freed, d.cutoffs.next_fit = [500], 9, 10**9
-    d.endpoints.assign_tiers(0.5)
-    low = {e.id for e in d.endpoints.healthy if e.tier == 0}
-    d.taken(10, 5, "op", None, 50_000, 1_000, 1)
-    first = pull(d, 10, Forward)[0].endpoint_id
+    node = dispatcher()
+    node.listed(10, True, rows(1, 2, 3, 4))
+    node.cutoffs.in_force, node.cutoffs.slots_freed, node.cutoffs.next_fit = [500], 9, 10**9
+    node.endpoints.assign_tiers(0.5)
+    low = {endpoint.id for endpoint in node.endpoints.healthy if endpoint.tier == 0}
+    node.taken(10, 5, "op", None, 50_000, 1_000, 1)
+    first = pull(node, 10, Forward)[0].endpoint_id
     assert first in low
-    d.started(20, 5, 0)
-    assert pull(d, 500) == []
-    cuts = pull(d, 530)
+    node.started(20, 5, 0)
+    assert pull(node, 500) == []
+    cuts = pull(node, 530)
     assert cuts == [Cancel(5, 0)] and isinstance(cuts[0], Cancel)
-    assert pull(d, 600) == []
-    d.ended(610, 5, 0, Outcome.CANCELLED, False)
-    again = pull(d, 610, Forward)
-    assert len(again) == 1 and again[0][2] not in low and d.cutoffs.cut_sizes
+    assert pull(node, 600) == []
+    node.ended(610, 5, 0, Outcome.CANCELLED, False)
+    again = pull(node, 610, Forward)
+    assert len(again) == 1 and again[0][2] not in low and node.cutoffs.cut_sizes
 
 
 def test_score_against_figures_worked_by_hand():
@@ -82,15 +82,18 @@
 def test_search_keeps_its_bounds_and_turns_to_random_when_cancels_free_nothing():
     """Cancels free nothing: then cutting only costs, and the search has to end with random spread."""
     for kept in (0, 50):
-        d = dispatcher()
-        d.listed(10, True, rows(*range(1, 9)))
-        c, chance = d.cutoffs, random.Random(3)
-        c.finished_sizes = [100 / (1 - chance.random() * 0.999) ** 1.0 for _ in range(400)]
-        c.slots_kept, c.uncuttable = kept, 0.0
+        node = dispatcher()
+        node.listed(10, True, rows(*range(1, 9)))
+        cutoffs, chance = node.cutoffs, random.Random(3)
+        cutoffs.finished_sizes = [100 / (1 - chance.random() * 0.999) ** 1.0 for _ in range(400)]
+        cutoffs.slots_kept, cutoffs.uncuttable = kept, 0.0
         for _ in range(300):
-            c.arrivals.add(99_000)
-        c.step(10, d.endpoints)
+            cutoffs.arrivals.add(99_000)
+        cutoffs.step(10, node.endpoints)
         for now in range(100_010, 100_400):
-            c.step(now, d.endpoints)
-            assert all(c.distribution.smallest <= cut[0] <= c.distribution.largest for cut in c.population)
-        assert (c.in_force is None) == bool(kept), c.summary
+            cutoffs.step(now, node.endpoints)
+            assert all(
+                cutoffs.distribution.smallest <= cut[0] <= cutoffs.distribution.largest
+                for cut in cutoffs.population
+            )
+        assert (cutoffs.in_force is None) == bool(kept), cutoffs.summary
--- a/tests/test_list_polling.py
+++ b/tests/test_list_polling.py
@@ -7,15 +7,15 @@
 
 def test_the_list_is_asked_for_again_later_each_time():
     """Discovery is down: nodes that ask at a fixed interval would keep it down."""
-    d = dispatcher(asks=True)
-    d.unlisted(10)
+    node = dispatcher(asks=True)
+    node.unlisted(10)
     now, gaps = 10, []
     for _ in range(4):
         start = now
-        while not pull(d, now, PollEndpointList):
+        while not pull(node, now, PollEndpointList):
             now += 100
         gaps.append(now - start)
-        d.unlisted(now)
+        node.unlisted(now)
     assert gaps[0] < 10_000 and gaps[3] > gaps[1]
 
 
@@ -23,11 +23,11 @@
     """A release restarts all nodes: asking at once overloads discovery, asking late leaves an old list."""
     first = []
     for seed in range(40):
-        d = dispatcher(asks=True, nodes=40, seed=seed)
-        d.unlisted(0)
-        first.append(next(now for now in range(0, 200_000, 100) if pull(d, now, PollEndpointList)))
+        node = dispatcher(asks=True, nodes=40, seed=seed)
+        node.unlisted(0)
+        first.append(next(now for now in range(0, 200_000, 100) if pull(node, now, PollEndpointList)))
     assert max(first) <= 2 * 10_000 + 100 and max(first.count(at) for at in first) < 5
     for _ in range(3):
-        d.unlisted(0)
-    latest = max(d.list_polling.poll_at for _ in range(9) if d.unlisted(0) is None)
-    assert d.endpoints.node_count * 500 < latest <= 8 * 2 * 10_000 + 1
+        node.unlisted(0)
+    latest = max(node.list_polling.poll_at for _ in range(9) if node.unlisted(0) is None)
+    assert node.endpoints.node_count * 500 < latest <= 8 * 2 * 10_000 + 1
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,38 +13,38 @@
 def test_small_work_does_not_pay_for_another_zone():
     """Sending to another zone has a price: for small work it is higher than what there is to gain."""
     for size, crosses in ((400, False), (9_000, True)):
-        d = dispatcher(cross=0.13)
-        d.context.settings.operations["op"].mean_work = 4_000.0
-        d.listed(10, True, rows(1, zone="b"))
-        d.taken(10, 5, "op", None, 50_000, size, 1)
-        kinds = {type(x) for now in range(10, 20_000, 100) for x in pull(d, now)}
+        node = dispatcher(cross=0.13)
+        node.context.settings.operations["op"].mean_work = 4_000.0
+        node.listed(10, True, rows(1, zone="b"))
+        node.taken(10, 5, "op", None, 50_000, size, 1)
+        kinds = {type(x) for now in range(10, 20_000, 100) for x in pull(node, now)}
         assert (Forward in kinds) == crosses
 
 
 def test_one_pass_looks_at_few_of_many_executors():
     """A fleet grows to hundreds of executors: were all looked at for each request, CPU would grow with it."""
-    d, asked = dispatcher(), []
-    d.listed(10, True, rows(*range(300)))
-    d.endpoints.is_ready = lambda e, now: asked.append(e) or True
-    d.taken(10, 5, "op", None, 50_000, 1_000, 1)
-    assert len(pull(d, 10, Forward)) == 1 and len(asked) < 40
+    node, asked = dispatcher(), []
+    node.listed(10, True, rows(*range(300)))
+    node.endpoints.is_ready = lambda endpoint, now: asked.append(endpoint) or True
+    node.taken(10, 5, "op", None, 50_000, 1_000, 1)
+    assert len(pull(node, 10, Forward)) == 1 and len(asked) < 40
 
 
 def test_newest_first():
     """Under overload the oldest request first would make every answer late."""
-    d = dispatcher()
-    d.listed(10, True, [])
+    node = dispatcher()
+    node.listed(10, True, [])
     for i in range(3):
-        d.taken(10 + i, i, "op", None, 50_000, 1_000, 1)
-    d.listed(20, True, rows(1))
-    assert [x.request_id for x in pull(d, 20, Forward)] == [2, 1]
+        node.taken(10 + i, i, "op", None, 50_000, 1_000, 1)
+    node.listed(20, True, rows(1))
+    assert [x.request_id for x in pull(node, 20, Forward)] == [2, 1]
 
 
 def test_same_decisions_under_any_hash_seed():
     code = (
-        "import sys; sys.path.insert(0, 'tests')\nfrom helpers import *\nd = dispatcher()\n"
-        "d.listed(10, True, rows(*range(9)))\n"
-        "for i in range(40): d.taken(10 + i, i, 'op', None, 50000, 900, 1); print(pull(d, 10 + i))"
+        "import sys; sys.path.insert(0, 'tests')\nfrom helpers import *\nnode = dispatcher()\n"
+        "node.listed(10, True, rows(*range(9)))\n"
+        "for i in range(40): node.taken(10 + i, i, 'op', None, 50000, 900, 1); print(pull(node, 10 + i))"
     )
     seen = {
         subprocess.run(
@@ -70,11 +70,11 @@
 def test_work_of_several_slots_waits_for_room_and_not_for_ever():
     """A wide request at the head of an executor's queue blocks it while others have room."""
     for now, sent in ((20, 0), (9_000, 1)):
-        d = dispatcher(split=1)
-        d.listed(10, True, rows(1))
-        d.endpoints.by_id[1].credit = 4.0
-        d.taken(10, 1, "op", None, 50_010, 20_000, 2)
-        assert len(pull(d, 10, Forward)) == 1
-        d.started(12, 1, 0)
-        d.taken(15, 2, "op", None, 50_015, 20_000, 3)
-        assert len(pull(d, 15, Forward)) == 0 and len(pull(d, now, Forward)) == sent
+        node = dispatcher(split=1)
+        node.listed(10, True, rows(1))
+        node.endpoints.by_id[1].credit = 4.0
+        node.taken(10, 1, "op", None, 50_010, 20_000, 2)
+        assert len(pull(node, 10, Forward)) == 1
+        node.started(12, 1, 0)
+        node.taken(15, 2, "op", None, 50_015, 20_000, 3)
+        assert len(pull(node, 15, Forward)) == 0 and len(pull(node, now, Forward)) == sent
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -24,47 +24,47 @@
     ]
     for effect, group, outcome, zone, soon, late in cases:
         for wait, wanted in ((100, soon), (40_000, late)):
-            d = dispatcher(effect, group)
-            d.listed(10, True, rows(1))
-            d.taken(10, 5, "op", None, 50_000, 1_000, 1)
-            first = pull(d, 10)[0]
+            node = dispatcher(effect, group)
+            node.listed(10, True, rows(1))
+            node.taken(10, 5, "op", None, 50_000, 1_000, 1)
+            first = pull(node, 10)[0]
             assert isinstance(first, Forward) and first[:2] == (5, 1)
-            d.listed(20, False, rows(2, zone=zone))
-            d.ended(10 + wait, 5, 0, outcome, False)
-            kinds = [type(x) for x in pull(d, 10 + wait)]
+            node.listed(20, False, rows(2, zone=zone))
+            node.ended(10 + wait, 5, 0, outcome, False)
+            kinds = [type(x) for x in pull(node, 10 + wait)]
             assert kinds == ([wanted] if wanted else []), (effect, group, outcome, zone, wait, kinds)
 
 
 def test_deduplicated_only_within_its_window():
     """An executor has forgotten an idempotency key after its window: a repeat would run again."""
-    d = dispatcher(Effect.KEYED, "all", window=600)
-    d.listed(10, True, rows(1, 2))
-    d.taken(10, 5, "op", None, 50_000, 1_000, 1)
-    pull(d, 10)
-    d.ended(700, 5, 0, Outcome.TIMEOUT, False)
-    assert [type(x) for x in pull(d, 700)] != [Forward]
+    node = dispatcher(Effect.KEYED, "all", window=600)
+    node.listed(10, True, rows(1, 2))
+    node.taken(10, 5, "op", None, 50_000, 1_000, 1)
+    pull(node, 10)
+    node.ended(700, 5, 0, Outcome.TIMEOUT, False)
+    assert [type(x) for x in pull(node, 700)] != [Forward]
 
 
 def test_one_final_answer_and_nothing_after_it():
     """No executor is there; the client is told once when to come back, also if one appears later."""
-    d = dispatcher(back=20_000)
-    d.listed(10, True, [])
-    d.taken(10, 5, "op", None, 50_000, 1_000, 1)
-    assert pull(d, 10) == []
-    answers = [x for t in range(100, 60_000, 100) for x in pull(d, t)]
+    node = dispatcher(back=20_000)
+    node.listed(10, True, [])
+    node.taken(10, 5, "op", None, 50_000, 1_000, 1)
+    assert pull(node, 10) == []
+    answers = [x for t in range(100, 60_000, 100) for x in pull(node, t)]
     assert [(type(x), x.request_id) for x in answers] == [(Throttle, 5)] and answers[0].retry_after > 0
-    d.listed(60_000, True, rows(1))
-    assert pull(d, 60_000) == []
+    node.listed(60_000, True, rows(1))
+    assert pull(node, 60_000) == []
 
 
 def test_a_repeat_has_only_the_slack_of_its_first_try():
     """A client tries again with what is left of its timeout: the work could only end late."""
-    d = dispatcher()
-    d.listed(10, True, rows(1))
-    d.taken(10, 5, "op", None, 50_010, 1_000, 1)
-    assert [type(x) for x in pull(d, 10)] == [Forward]
-    d.taken(20_000, 6, "op", None, 50_010, 1_000, 1)
-    assert [type(x) for x in pull(d, 20_000)] == [Throttle]
+    node = dispatcher()
+    node.listed(10, True, rows(1))
+    node.taken(10, 5, "op", None, 50_010, 1_000, 1)
+    assert [type(x) for x in pull(node, 10)] == [Forward]
+    node.taken(20_000, 6, "op", None, 50_010, 1_000, 1)
+    assert [type(x) for x in pull(node, 20_000)] == [Throttle]
 
 
 def test_a_client_with_little_time_left_is_answered_at_once():
@@ -78,8 +78,8 @@
         (4_000, 1_000, Throttle),
         (4_000, 9_000, Throttle),
     ):
-        d = dispatcher()
-        d.listed(10, True, rows(1))
-        d.context.settings.operations["op"].longest_timeout = 50_000
-        d.taken(10, 5, "op", None, 10 + left, size, 1)
-        assert [type(x) for x in pull(d, 10)] == [what], (left, size)
+        node = dispatcher()
+        node.listed(10, True, rows(1))
+        node.context.settings.operations["op"].longest_timeout = 50_000
+        node.taken(10, 5, "op", None, 10 + left, size, 1)
+        assert [type(x) for x in pull(node, 10)] == [what], (left, size)
--- a/tests/test_slot_lending.py
+++ b/tests/test_slot_lending.py
@@ -21,73 +21,76 @@
 
 def test_nodes_together_send_an_executor_no_more_than_its_credit():
     """Many nodes each see room at an executor where together they have none left."""
-    s = Several(6, rows(1, 2))
-    for by, d in enumerate(s.all):
-        d.taken(10, by, "op", None, 50_010, 1_000, 1)
-    first = forwards(s.go(10, 300))
+    fleet = Several(6, rows(1, 2))
+    for by, node in enumerate(fleet.all):
+        node.taken(10, by, "op", None, 50_010, 1_000, 1)
+    first = forwards(fleet.go(10, 300))
     assert len(first) == 4 and sorted(x[2] for x in first) == [1, 1, 2, 2]  # credit is two at first
     for by, id, _ in first:
-        s.all[by].started(300, id, 0)
-        s.all[by].ended(320, id, 0, Outcome.SUCCEEDED, True)
-    assert len(forwards(s.go(320, 600))) == 2
+        fleet.all[by].started(300, id, 0)
+        fleet.all[by].ended(320, id, 0, Outcome.SUCCEEDED, True)
+    assert len(forwards(fleet.go(320, 600))) == 2
     assert all(
-        not e.slots_in_use or not e.in_flight for d in s.all for e in d.endpoints.healthy if not e.in_flight
+        not endpoint.slots_in_use or not endpoint.in_flight
+        for node in fleet.all
+        for endpoint in node.endpoints.healthy
+        if not endpoint.in_flight
     )
 
 
 def test_a_silent_coordinator_is_replaced_and_a_lost_message_costs_no_executor():
     """A coordinator dies or its messages are lost: its executors must not be lost with it."""
     for outage in (range(6), (0,)):
-        s = Several(6, rows(1, 2))
-        keeper = s.all[0].endpoints.coordinators.node_for(("a", 0), 10)
-        s.lost = lambda by, to: keeper in (by, to) and to in (keeper, *outage)
-        asker = next(i for i in range(6) if i != keeper)
-        s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
-        done = s.go(10, 2_400)
+        fleet = Several(6, rows(1, 2))
+        coordinator = fleet.all[0].endpoints.coordinators.node_for(("a", 0), 10)
+        fleet.lost = lambda by, to: coordinator in (by, to) and to in (coordinator, *outage)
+        requester = next(i for i in range(6) if i != coordinator)
+        fleet.all[requester].taken(10, 5, "op", None, 50_010, 1_000, 1)
+        done = fleet.go(10, 2_400)
         assert len(forwards(done)) == 1 and 1_000 < done[0][0] < 1_200
-        book = s.all[s.all[asker].endpoints.coordinators.node_for(("a", 0), 1_500)].endpoints
-        assert sum(e.slots_in_use for e in book.healthy) == 1
-        s.all[asker].ended(2_400, 5, 0, Outcome.SUCCEEDED, True)
-        s.lost = lambda by, to: to == keeper
-        s.go(2_410, 3_000)
-        assert sum(e.slots_in_use for e in book.healthy) == 0
+        stand_in = fleet.all[fleet.all[requester].endpoints.coordinators.node_for(("a", 0), 1_500)].endpoints
+        assert sum(endpoint.slots_in_use for endpoint in stand_in.healthy) == 1
+        fleet.all[requester].ended(2_400, 5, 0, Outcome.SUCCEEDED, True)
+        fleet.lost = lambda by, to: to == coordinator
+        fleet.go(2_410, 3_000)
+        assert sum(endpoint.slots_in_use for endpoint in stand_in.healthy) == 0
 
 
 def test_a_granted_slot_is_released_when_its_client_has_left_or_its_node_is_dead():
     """Slots are granted to requests that are gone: without a release or an expiry none would be left."""
     for dead in (False, True):
-        s = Several(4, rows(1))
-        keeper = s.all[0].endpoints.coordinators.node_for(("a", 0), 10)
-        asker = (keeper + 1) % 4
-        e = s.all[keeper].endpoints.by_id[1]
-        s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
-        s.go(10, 30)
-        assert e.slots_in_use == 1
-        s.all[asker].left(30, 5)
-        s.lost = lambda by, to: dead and by == asker
-        done = s.go(40, 100)
-        assert not forwards(done) and e.slots_in_use == dead
-        s.go(100, 60_000, 1_000)
-        assert e.slots_in_use == 0 and not s.all[keeper].requests
+        fleet = Several(4, rows(1))
+        coordinator = fleet.all[0].endpoints.coordinators.node_for(("a", 0), 10)
+        requester = (coordinator + 1) % 4
+        endpoint = fleet.all[coordinator].endpoints.by_id[1]
+        fleet.all[requester].taken(10, 5, "op", None, 50_010, 1_000, 1)
+        fleet.go(10, 30)
+        assert endpoint.slots_in_use == 1
+        fleet.all[requester].left(30, 5)
+        fleet.lost = lambda by, to: dead and by == requester
+        done = fleet.go(40, 100)
+        assert not forwards(done) and endpoint.slots_in_use == dead
+        fleet.go(100, 60_000, 1_000)
+        assert endpoint.slots_in_use == 0 and not fleet.all[coordinator].requests
 
 
 def test_the_own_list_takes_precedence_over_a_grant():
     """A coordinator with an older list grants a slot at an executor that this node knows to drain."""
     for state, sent in (("draining", 0), ("gone", 0), ("healthy", 1)):  # rule 3 is each node's own
-        s = Several(4, rows(1))
-        asker = (s.all[0].endpoints.coordinators.node_for(("a", 0), 10) + 1) % 4
-        s.all[asker].taken(10, 5, "op", None, 50_010, 1_000, 1)
-        s.go(10, 20)
-        s.all[asker].listed(25, False, rows(1, state=state))
-        assert len(forwards(s.go(30, 200))) == sent
+        fleet = Several(4, rows(1))
+        requester = (fleet.all[0].endpoints.coordinators.node_for(("a", 0), 10) + 1) % 4
+        fleet.all[requester].taken(10, 5, "op", None, 50_010, 1_000, 1)
+        fleet.go(10, 20)
+        fleet.all[requester].listed(25, False, rows(1, state=state))
+        assert len(forwards(fleet.go(30, 200))) == sent
 
 
 def test_a_message_that_is_odd_repeated_or_late_does_no_harm():
     """Datagrams arrive twice, late, from strangers or with absurd figures."""
-    d = dispatcher(nodes=4, me=0, split=1)
-    d.listed(10, True, rows(1, 2))
-    d.endpoints.coordinators.node_for = lambda group, now: 0
-    rank = d.endpoints.healthy[0].rank
+    node = dispatcher(nodes=4, me=0, split=1)
+    node.listed(10, True, rows(1, 2))
+    node.endpoints.coordinators.node_for = lambda group, now: 0
+    rank = node.endpoints.healthy[0].rank
     plain = SlotRequest(7, rank, 40_000, 1_000, 0, 1, 0, 0, 0, 0)
     for by, message in (
         (1, plain),
@@ -106,18 +109,18 @@
         (3, SlotReleased(7, Outcome.SUCCEEDED, 25.0)),
         (3, SlotReleased(7, Outcome.FAILED, None)),
     ):
-        d.heard(20, by, peer_codec.decode(peer_codec.encode(message)))
-    told = pull(d, 20, SendPeerMessage)
-    grants = [x for x in told if isinstance(x.message, SlotGrant)]
+        node.heard(20, by, peer_codec.decode(peer_codec.encode(message)))
+    sent = pull(node, 20, SendPeerMessage)
+    grants = [x for x in sent if isinstance(x.message, SlotGrant)]
     assert sorted(x.node for x in grants) == [1, 2]
     # Nothing of it is used.
-    releases = [x for x in told if isinstance(x.message, SlotReleased)]
+    releases = [x for x in sent if isinstance(x.message, SlotReleased)]
     assert releases == [(3, SlotReleased(7, Outcome.NEVER_SENT, None))] * 2
     assert all(
         inv.deadline <= 20 + inv.operation.client_timeout
         and inv.estimated_work <= inv.operation.client_timeout
         and inv.slots <= 64
-        for inv in d.requests.values()
+        for inv in node.requests.values()
     )
     for message in (
         SlotReleased(7, Outcome.SUCCEEDED, None),
@@ -125,29 +128,31 @@
         SlotStarted(7, 10, False),
         SlotProgressed(7),
     ):
-        d.heard(60, 1, peer_codec.decode(peer_codec.encode(message)))  # repeated, and after the end
-    assert d.endpoints.by_id[grants[0].message.rank == rank and d.endpoints.healthy[0].id or 2].credit <= 3
-    assert len(d.requests) == 1
+        node.heard(60, 1, peer_codec.decode(peer_codec.encode(message)))  # repeated, and after the end
+    assert (
+        node.endpoints.by_id[grants[0].message.rank == rank and node.endpoints.healthy[0].id or 2].credit <= 3
+    )
+    assert len(node.requests) == 1
 
 
 def test_a_warming_executor_gets_no_more_than_its_part_through_its_coordinator():
     """An executor starts cold and all nodes place work by one coordinator (rule 4)."""
-    s = Several(20, rows(1, born=9_000) + rows(*range(2, 8)))
+    fleet = Several(20, rows(1, born=9_000) + rows(*range(2, 8)))
     work, queues = {}, {}
     for i in range(400):  # a hundred a second
         now = 10_100 + 100 * i
-        s.all[i % 20].taken(now, now, "op", None, now + 50_000, 4_000, 1)
-        for at, by, x in s.go(now, now + 90):
+        fleet.all[i % 20].taken(now, now, "op", None, now + 50_000, 4_000, 1)
+        for at, by, x in fleet.go(now, now + 90):
             if isinstance(x, Forward):
                 id = x.endpoint_id
                 queues.setdefault(id, []).append([by, x.request_id, 0])
                 work[id, i // 100] = work.get((id, i // 100), 0) + 4_000
         for queue in queues.values():  # each runs two at once
-            for f in [f for f in queue if f[2] and f[2] <= now]:
-                s.all[f[0]].ended(now, f[1], 0, Outcome.SUCCEEDED, True)
-                queue.remove(f)
-            for f in [f for f in queue[:2] if not f[2]]:
-                s.all[f[0]].started(now, f[1], 0)
-                f[2] = now + 4_000
+            for attempt in [attempt for attempt in queue if attempt[2] and attempt[2] <= now]:
+                fleet.all[attempt[0]].ended(now, attempt[1], 0, Outcome.SUCCEEDED, True)
+                queue.remove(attempt)
+            for attempt in [attempt for attempt in queue[:2] if not attempt[2]]:
+                fleet.all[attempt[0]].started(now, attempt[1], 0)
+                attempt[2] = now + 4_000
     for second in range(4):
         assert 0 < work[1, second] <= 3.0 * 2 * 10_000 * (0.3 + 0.7 * (second + 1) / 8)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -12,11 +12,11 @@
     for now in range(10_010, 20_000, 1_000):
         senders = 0
         for me in range(3):
-            d = dispatcher(nodes=3, me=me)
-            d.listed(now, True, rows(1, born=10_000))
+            node = dispatcher(nodes=3, me=me)
+            node.listed(now, True, rows(1, born=10_000))
             for i in range(9):
-                d.taken(now, i, "op", None, now + 50_000, 1_000, 1)
-            sent = len(pull(d, now, Forward))
+                node.taken(now, i, "op", None, now + 50_000, 1_000, 1)
+            sent = len(pull(node, now, Forward))
             assert sent <= 1
             senders += sent
         assert senders == 1
@@ -26,12 +26,12 @@
     """No other executor is ready: all nodes would meet at the one that has just started (rule 4)."""
     sent = 0
     for seed in range(200):
-        d = dispatcher(nodes=200, me=0, probes=True, seed=seed)
-        d.listed(100_000, True, rows(1, born=99_990) + rows(*range(2, 22)))
-        for e in d.endpoints.healthy:
-            e.ejected_until, e.last_heard_at = (0 if e.id == 1 else 10**9), 99_999
-        d.taken(100_000, 5, "op", None, 150_000, 1_000, 1)
-        sent += any(pull(d, now, Probe) for now in range(100_000, 101_000, 100))
+        node = dispatcher(nodes=200, me=0, probes=True, seed=seed)
+        node.listed(100_000, True, rows(1, born=99_990) + rows(*range(2, 22)))
+        for endpoint in node.endpoints.healthy:
+            endpoint.ejected_until, endpoint.last_heard_at = (0 if endpoint.id == 1 else 10**9), 99_999
+        node.taken(100_000, 5, "op", None, 150_000, 1_000, 1)
+        sent += any(pull(node, now, Probe) for now in range(100_000, 101_000, 100))
     assert sent < 200 * 3 / 20
 
 
@@ -44,26 +44,26 @@
     for old_have_room in (True, False):
         sent = {}
         for me in range(nodes):
-            d = dispatcher(nodes=nodes, me=me, probes=True, seed=me)
-            d.listed(0, True, rows(*range(24)))
-            d.listed(120_000, False, rows(*young, born=100_000))
-            for e in d.endpoints.healthy:
-                e.ejected_until = 0 if e.id in young or old_have_room else 10**9
+            node = dispatcher(nodes=nodes, me=me, probes=True, seed=me)
+            node.listed(0, True, rows(*range(24)))
+            node.listed(120_000, False, rows(*young, born=100_000))
+            for endpoint in node.endpoints.healthy:
+                endpoint.ejected_until = 0 if endpoint.id in young or old_have_room else 10**9
             for i in range(40):
-                d.endpoints.sends.add(80_000 + i * 1_000)
+                node.endpoints.sends.add(80_000 + i * 1_000)
             for i in range(40):  # ten a second and node, from 2 s of the young ones' age on
                 now = 120_000 + i * 1_000
-                d.taken(now, i, "op", None, now + 50_000, 1_000, 1)
-                for (id,) in pull(d, now, Probe):
-                    d.probed(now, id, "ok", 4, 1)
-                for inv, id, _ in pull(d, now, Forward):
+                node.taken(now, i, "op", None, now + 50_000, 1_000, 1)
+                for (id,) in pull(node, now, Probe):
+                    node.probed(now, id, "ok", 4, 1)
+                for inv, id, _ in pull(node, now, Forward):
                     if id in young:
                         sent[id, now // 10_000] = sent.get((id, now // 10_000), 0) + 1
-                    d.started(now, inv, 0)
-                    d.ended(now, inv, 0, "ok", True)
+                    node.started(now, inv, 0)
+                    node.ended(now, inv, 0, "ok", True)
         mean = nodes * 10 / 60
         for (_, second), n in sent.items():
-            assert n < 3 * d.endpoints.warmth(d.endpoints.by_id[100], second * 10_000) * mean
+            assert n < 3 * node.endpoints.warmth(node.endpoints.by_id[100], second * 10_000) * mean
         assert sum(sent.values()) > 4 * 36 * 0.3 * mean
 
 
@@ -72,28 +72,28 @@
 
     Of 40 requests a second 8, 4 and then 0 went out.
     """
-    d = dispatcher(nodes=1)
-    d.listed(10, True, rows(*"abcdefg"))
+    node = dispatcher(nodes=1)
+    node.listed(10, True, rows(*"abcdefg"))
     sent, running = {}, []
 
     def play(start, end):
         for now in range(start, end, 250):
             while running and running[0][0] <= now:
                 _, id, n = running.pop(0)
-                d.ended(now, id, n, Outcome.SUCCEEDED, True)
-            d.taken(now, now, "op", None, now + 40_000, 500, 1)
-            for action in pull(d, now):
+                node.ended(now, id, n, Outcome.SUCCEEDED, True)
+            node.taken(now, now, "op", None, now + 40_000, 500, 1)
+            for action in pull(node, now):
                 if isinstance(action, Forward):
                     id = action.request_id
-                    d.started(now + 5, id, 0)
+                    node.started(now + 5, id, 0)
                     running.append((now + 2_000, id, 0))
                     sent[now // 10_000] = sent.get(now // 10_000, 0) + 1
 
     play(0, 200_000)
-    d.listed(200_000, True, rows(*"hijklmn", born=200_000))
+    node.listed(200_000, True, rows(*"hijklmn", born=200_000))
     play(200_000, 280_000)
     assert min(sent.get(second, 0) for second in range(20, 28)) > sent[19] / 4, sent
     # A process that goes on with the work of another one knows what that one sent.
     heir = dispatcher(nodes=1)
-    heir.endpoints.restore(280_000, orjson.loads(orjson.dumps(d.endpoints.record())))
-    assert heir.endpoints.sends.total(280_000) == d.endpoints.sends.total(280_000) > 400
+    heir.endpoints.restore(280_000, orjson.loads(orjson.dumps(node.endpoints.record())))
+    assert heir.endpoints.sends.total(280_000) == node.endpoints.sends.total(280_000) > 400
