--- a/grebedyke/service/component_host.py
+++ b/grebedyke/service/component_host.py
@@ -11,6 +11,7 @@
 from loguru import logger
 
 from grebedyke.consensus import actions, framing
+from grebedyke.consensus.component import Component
 from grebedyke.errors import ConfigurationError, ForeignRecordError
 from grebedyke.service.endpoint_exclusions import EndpointExclusions
 from grebedyke.units import TICKS_PER_SECOND
@@ -39,6 +40,18 @@
     banned_names: Callable[[], Iterable[str]]
 
 
+class ComponentAction(NamedTuple):
+    """An action with the component that asks for it.
+
+    Attributes:
+        component: The component.
+        action: One of the actions of `grebedyke/consensus/actions.py`.
+    """
+
+    component: Component
+    action: actions.Action
+
+
 class ComponentHost:
     """Hosts a node's components.
 
@@ -174,7 +187,7 @@
     # What goes out.
 
     def next_action(self, now):
-        """Returns the next component with an action, and the action; None where there is none."""
+        """Returns the next `ComponentAction`, None where there is none."""
         if not self.is_started:
             return None
         for component in self.components:
@@ -183,7 +196,7 @@
                 component.open_attempts_reported(now, names)
             action = component.next_action(now)
             if action is not None:
-                return component, action
+                return ComponentAction(component, action)
         return None
 
     def perform(self, now, component, action):
--- a/grebedyke/service/fleet_assembly.py
+++ b/grebedyke/service/fleet_assembly.py
@@ -8,7 +8,7 @@
 from grebedyke.consensus import framing
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.model.seeded_random import SeededRandom
-from grebedyke.service.component_host import LARGEST_CALL, ComponentHost, NodeAccess
+from grebedyke.service.component_host import LARGEST_CALL, ComponentAction, ComponentHost, NodeAccess
 from grebedyke.service.record_files import RecordFiles
 from grebedyke.units import ticks
 
@@ -155,9 +155,8 @@
         return decision if decision is not None else host.next_action(now)
 
     def carry_out(now, action):
-        # The host gives plain pairs, the dispatcher one of `grebedyke.model.actions`.
-        if type(action) is tuple:
-            host.perform(now, *action)
+        if isinstance(action, ComponentAction):
+            host.perform(now, action.component, action.action)
         else:
             carry_decision(now, action)
 
