--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -236,48 +236,48 @@
     assert [limit.wire_id for limit in limits] == [11350, 3454, 754]
 
 
-def first_of(d, now):
+def first_of(policy, now):
     """The first forward or throttle: its type and its request."""
-    first = pull(d, now, Forward, Throttle)[0]
+    first = pull(policy, now, Forward, Throttle)[0]
     return type(first), first.request_id
 
 
-def throttled(d, now):
+def throttled(policy, now):
     """All throttles, where nothing is forwarded."""
-    found = pull(d, now, Forward, Throttle)
-    assert all(isinstance(x, Throttle) for x in found)
+    found = pull(policy, now, Forward, Throttle)
+    assert all(isinstance(action, Throttle) for action in found)
     return found
 
 
 def test_what_is_over_is_throttled_at_once_and_a_slot_outlasts_its_client():
     """A client that leaves ends no work: its request keeps its slot, and whoever comes next is throttled."""
-    d = dispatcher(effect=Effect.IDEMPOTENT, back=20_000)
-    d.listed(10, True, rows("e1", "e2"))
+    policy = dispatcher(effect=Effect.IDEMPOTENT, back=20_000)
+    policy.listed(10, True, rows("e1", "e2"))
     terms = LeaseTerms(node_count=1, lease=8_000, clock_drift=0.0, run_on=0)
     pay = Limit("pay", LimitKind.CONCURRENCY, 1, 0, 1, None, "op", False)
-    d.quotas.limits = RequestLimiter([pay], terms, -100_000)
-    d.taken(100, "first", "op", "t", 50_000, 0, 1)
-    assert first_of(d, 100) == (Forward, "first")
-    d.taken(200, "second", "op", "t", 50_000, 0, 1)
-    assert throttled(d, 200) == [Throttle("second", 2_500)]
+    policy.quotas.limits = RequestLimiter([pay], terms, -100_000)
+    policy.taken(100, "first", "op", "t", 50_000, 0, 1)
+    assert first_of(policy, 100) == (Forward, "first")
+    policy.taken(200, "second", "op", "t", 50_000, 0, 1)
+    assert throttled(policy, 200) == [Throttle("second", 2_500)]
     # Its client leaves; the work goes on, and so does its slot.
-    d.left(300, "first")
-    d.taken(400, "third", "op", "t", 50_000, 0, 1)
-    assert throttled(d, 400) == [Throttle("third", 2_500)]
-    d.ended(500, "first", 0, Outcome.SUCCEEDED, True)
-    d.taken(600, "fourth", "op", "t", 50_000, 0, 1)
-    assert first_of(d, 600) == (Forward, "fourth")
+    policy.left(300, "first")
+    policy.taken(400, "third", "op", "t", 50_000, 0, 1)
+    assert throttled(policy, 400) == [Throttle("third", 2_500)]
+    policy.ended(500, "first", 0, Outcome.SUCCEEDED, True)
+    policy.taken(600, "fourth", "op", "t", 50_000, 0, 1)
+    assert first_of(policy, 600) == (Forward, "fourth")
     # Retries have a limit of their own: without one left a request is given up at once.
     again = Limit("again", LimitKind.RATE, 1_000, 1, 1_000, None, "op", False, True)
-    d.quotas.limits = RequestLimiter([again], terms, 0)
-    d.taken(20_000, "fifth", "op", "t", 70_000, 0, 1)
-    for now, n in ((20_000, 0), (20_100, 1)):
-        assert first_of(d, now) == (Forward, "fifth")
-        d.ended(now + 50, "fifth", n, Outcome.NEVER_SENT, False)
-    assert first_of(d, 20_200) == (Throttle, "fifth")
+    policy.quotas.limits = RequestLimiter([again], terms, 0)
+    policy.taken(20_000, "fifth", "op", "t", 70_000, 0, 1)
+    for now, attempt in ((20_000, 0), (20_100, 1)):
+        assert first_of(policy, now) == (Forward, "fifth")
+        policy.ended(now + 50, "fifth", attempt, Outcome.NEVER_SENT, False)
+    assert first_of(policy, 20_200) == (Throttle, "fifth")
     # A soft one only marks what is over: it comes behind the rest.
-    d.quotas.limits = RequestLimiter([pay._replace(soft=True, size=1)], terms, -100_000)
-    soft = [d.taken(700 + i, f"soft{i}", "op", "t", 50_000, 0, 1).over_quota for i in range(2)]
+    policy.quotas.limits = RequestLimiter([pay._replace(soft=True, size=1)], terms, -100_000)
+    soft = [policy.taken(700 + i, f"soft{i}", "op", "t", 50_000, 0, 1).over_quota for i in range(2)]
     assert soft == [False, True]
 
 
