--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -664,6 +664,11 @@
     assert jobs == sorted(texts)  # each ran, and none twice
 
 
+def with_its_rules(table):
+    """The endpoint table and the rules that it is put together of."""
+    return table, table.slow_start, table.credit, table.load, table.speeds, table.lateness, table.coordinators
+
+
 def test_a_switch_takes_every_term_over_and_back():
     # Guards against a setting that a part copies at start and keeps: half of the old ones would stay in
     # force.
@@ -702,9 +707,7 @@
 
     def seen(d):
         shown = {}
-        table = d.endpoints
-        rules = table.slow_start, table.credit, table.load, table.speeds, table.lateness, table.coordinators
-        for part in (table, *rules, d.cutoffs, d.quotas):
+        for part in (*with_its_rules(d.endpoints), d.cutoffs, d.quotas):
             for name, value in vars(part).items():
                 if isinstance(value, (int, float, str, bool)):
                     shown[type(part).__name__, name] = value
@@ -738,7 +741,9 @@
             configuration.read_node(environ),
             lambda: configuration.read_node(environ),
         )
-        work.phase, before = node.Phase.SERVING, vars(work.desk.dispatcher.endpoints).copy()
+        work.phase = node.Phase.SERVING
+        parts = with_its_rules(work.desk.dispatcher.endpoints)
+        before = [vars(part).copy() for part in parts]
         for said, word in (
             ("{", "not JSON"),
             ("[]", "not an object"),
@@ -754,7 +759,7 @@
                 file.write_bytes(said.encode() if isinstance(said, str) else orjson.dumps(said))
             work.reload()
             assert "reload refused" in lines[-1] and word in lines[-1], lines[-1]
-            assert not work.turn.inbox and vars(work.desk.dispatcher.endpoints) == before
+            assert not work.turn.inbox and [vars(part) for part in parts] == before
         file.write_bytes(orjson.dumps(sound))
         work.reload()
         assert "settings as before" in lines[-1] and not work.turn.inbox
--- /dev/null
+++ b/tests/test_slot_lending.py
@@ -0,0 +1,158 @@
+"""Slots that group coordinators grant to other nodes."""
+
+from helpers import Several, dispatcher, pull, rows
+
+from grebedyke.model.actions import Forward, SendPeerMessage
+from grebedyke.model.outcome import Outcome
+from grebedyke.model.peer_messages import (
+    SlotDenial,
+    SlotGrant,
+    SlotProgressed,
+    SlotReleased,
+    SlotRequest,
+    SlotStarted,
+)
+from grebedyke.wire import peer_codec
+
+
+def forwards(done):
+    return [(by, x.request_id, x.endpoint_id) for _, by, x in done if isinstance(x, Forward)]
+
+
+def test_nodes_together_send_an_executor_no_more_than_its_credit():
+    """Many nodes each see room at an executor where together they have none left."""
+    fleet = Several(6, rows(1, 2))
+    for by, node in enumerate(fleet.all):
+        node.taken(10, by, "op", None, 50_010, 1_000, 1)
+    first = forwards(fleet.go(10, 300))
+    assert len(first) == 4 and sorted(x[2] for x in first) == [1, 1, 2, 2]  # credit is two at first
+    for by, id, _ in first:
+        fleet.all[by].started(300, id, 0)
+        fleet.all[by].ended(320, id, 0, Outcome.SUCCEEDED, True)
+    assert len(forwards(fleet.go(320, 600))) == 2
+    assert all(
+        not endpoint.slots_in_use or not endpoint.in_flight
+        for node in fleet.all
+        for endpoint in node.endpoints.healthy
+        if not endpoint.in_flight
+    )
+
+
+def test_a_silent_coordinator_is_replaced_and_a_lost_message_costs_no_executor():
+    """A coordinator dies or its messages are lost: its executors must not be lost with it."""
+    for outage in (range(6), (0,)):
+        fleet = Several(6, rows(1, 2))
+        coordinator = fleet.all[0].endpoints.coordinators.node_for(("a", 0), 10)
+        fleet.lost = lambda by, to: coordinator in (by, to) and to in (coordinator, *outage)
+        requester = next(i for i in range(6) if i != coordinator)
+        fleet.all[requester].taken(10, 5, "op", None, 50_010, 1_000, 1)
+        done = fleet.go(10, 2_400)
+        assert len(forwards(done)) == 1 and 1_000 < done[0][0] < 1_200
+        stand_in = fleet.all[fleet.all[requester].endpoints.coordinators.node_for(("a", 0), 1_500)].endpoints
+        assert sum(endpoint.slots_in_use for endpoint in stand_in.healthy) == 1
+        fleet.all[requester].ended(2_400, 5, 0, Outcome.SUCCEEDED, True)
+        fleet.lost = lambda by, to: to == coordinator
+        fleet.go(2_410, 3_000)
+        assert sum(endpoint.slots_in_use for endpoint in stand_in.healthy) == 0
+
+
+def test_a_granted_slot_is_released_when_its_client_has_left_or_its_node_is_dead():
+    """Slots are granted to requests that are gone: without a release or an expiry none would be left."""
+    for dead in (False, True):
+        fleet = Several(4, rows(1))
+        coordinator = fleet.all[0].endpoints.coordinators.node_for(("a", 0), 10)
+        requester = (coordinator + 1) % 4
+        endpoint = fleet.all[coordinator].endpoints.by_id[1]
+        fleet.all[requester].taken(10, 5, "op", None, 50_010, 1_000, 1)
+        fleet.go(10, 30)
+        assert endpoint.slots_in_use == 1
+        fleet.all[requester].left(30, 5)
+        fleet.lost = lambda by, to: dead and by == requester
+        done = fleet.go(40, 100)
+        assert not forwards(done) and endpoint.slots_in_use == dead
+        fleet.go(100, 60_000, 1_000)
+        assert endpoint.slots_in_use == 0 and not fleet.all[coordinator].requests
+
+
+def test_the_own_list_takes_precedence_over_a_grant():
+    """A coordinator with an older list grants a slot at an executor that this node knows to drain."""
+    for state, sent in (("draining", 0), ("gone", 0), ("healthy", 1)):  # rule 3 is each node's own
+        fleet = Several(4, rows(1))
+        requester = (fleet.all[0].endpoints.coordinators.node_for(("a", 0), 10) + 1) % 4
+        fleet.all[requester].taken(10, 5, "op", None, 50_010, 1_000, 1)
+        fleet.go(10, 20)
+        fleet.all[requester].listed(25, False, rows(1, state=state))
+        assert len(forwards(fleet.go(30, 200))) == sent
+
+
+def test_a_message_that_is_odd_repeated_or_late_does_no_harm():
+    """Datagrams arrive twice, late, from strangers or with absurd figures."""
+    node = dispatcher(nodes=4, me=0, split=1)
+    node.listed(10, True, rows(1, 2))
+    node.endpoints.coordinators.node_for = lambda group, now: 0
+    rank = node.endpoints.healthy[0].rank
+    plain = SlotRequest(7, rank, 40_000, 1_000, 0, 1, 0, 0, 0, 0)
+    for by, message in (
+        (1, plain),
+        (1, plain),
+        (9, plain),
+        (-1, plain),
+        (0, plain),
+        (2, plain._replace(rank=99)),
+        (2, plain._replace(operation=200)),
+        (2, SlotRequest(8, rank, 2**32 - 1, 2**32 - 1, 255, 255, 255, 0, 255, 1)),
+        (3, SlotGrant(7, rank)),
+        (3, SlotGrant(7, 5)),
+        (3, SlotDenial(7, True)),
+        (3, SlotStarted(7, 2**32 - 1, True)),
+        (3, SlotProgressed(7)),
+        (3, SlotReleased(7, Outcome.SUCCEEDED, 25.0)),
+        (3, SlotReleased(7, Outcome.FAILED, None)),
+    ):
+        node.heard(20, by, peer_codec.decode(peer_codec.encode(message)))
+    sent = pull(node, 20, SendPeerMessage)
+    grants = [x for x in sent if isinstance(x.message, SlotGrant)]
+    assert sorted(x.node for x in grants) == [1, 2]
+    # Nothing of it is used.
+    releases = [x for x in sent if isinstance(x.message, SlotReleased)]
+    assert releases == [(3, SlotReleased(7, Outcome.NEVER_SENT, None))] * 2
+    assert all(
+        inv.deadline <= 20 + inv.operation.client_timeout
+        and inv.estimated_work <= inv.operation.client_timeout
+        and inv.slots <= 64
+        for inv in node.requests.values()
+    )
+    for message in (
+        SlotReleased(7, Outcome.SUCCEEDED, None),
+        SlotReleased(7, Outcome.SUCCEEDED, None),
+        SlotStarted(7, 10, False),
+        SlotProgressed(7),
+    ):
+        node.heard(60, 1, peer_codec.decode(peer_codec.encode(message)))  # repeated, and after the end
+    assert (
+        node.endpoints.by_id[grants[0].message.rank == rank and node.endpoints.healthy[0].id or 2].credit <= 3
+    )
+    assert len(node.requests) == 1
+
+
+def test_a_warming_executor_gets_no_more_than_its_part_through_its_coordinator():
+    """An executor starts cold and all nodes place work by one coordinator (rule 4)."""
+    fleet = Several(20, rows(1, born=9_000) + rows(*range(2, 8)))
+    work, queues = {}, {}
+    for i in range(400):  # a hundred a second
+        now = 10_100 + 100 * i
+        fleet.all[i % 20].taken(now, now, "op", None, now + 50_000, 4_000, 1)
+        for at, by, x in fleet.go(now, now + 90):
+            if isinstance(x, Forward):
+                id = x.endpoint_id
+                queues.setdefault(id, []).append([by, x.request_id, 0])
+                work[id, i // 100] = work.get((id, i // 100), 0) + 4_000
+        for queue in queues.values():  # each runs two at once
+            for attempt in [attempt for attempt in queue if attempt[2] and attempt[2] <= now]:
+                fleet.all[attempt[0]].ended(now, attempt[1], 0, Outcome.SUCCEEDED, True)
+                queue.remove(attempt)
+            for attempt in [attempt for attempt in queue[:2] if not attempt[2]]:
+                fleet.all[attempt[0]].started(now, attempt[1], 0)
+                attempt[2] = now + 4_000
+    for second in range(4):
+        assert 0 < work[1, second] <= 3.0 * 2 * 10_000 * (0.3 + 0.7 * (second + 1) / 8)
