--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -11,8 +11,8 @@
 
 import click
 
-from grebedyke.rig import limited
-from grebedyke.rig.limited import LEASE, LIMITS, LimitedWorld
+from grebedyke.testbed import simulated_limits
+from grebedyke.testbed.simulated_limits import LEASE, LIMITS, LimitedWorld
 from grebedyke.units import TICKS_PER_SECOND
 
 FAULTS = {
@@ -30,7 +30,7 @@
 
 def one(args):
     seed, way, faults = args
-    found, world = limited.play(seed, way=way, **FAULTS[faults])
+    found, world = simulated_limits.play(seed, way=way, **FAULTS[faults])
     judge = world.judge
     over = max(-judge.least_tokens, 0), max(judge.peak_in_flight - LIMITS.concurrency, 0)
     return world.used_before_faults, world.used_amid_faults, world.used_in_calm, *over
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -27,12 +27,12 @@
 from grebedyke.rate_limits.component import RateLimits
 from grebedyke.rate_limits.definitions import Limit, LimitKind, wire_id_of
 from grebedyke.rate_limits.lease_terms import LeaseTerms
-from grebedyke.rig.limited import LimitedRequest
-from grebedyke.rig.world import World, maintenance_settings
 from grebedyke.service.configuration import open_dispatcher, terms
 from grebedyke.service.log import Gauges
 from grebedyke.service.turn import Turn
 from grebedyke.standin.discovery import Discovery
+from grebedyke.testbed.simulated_cluster import World, maintenance_settings
+from grebedyke.testbed.simulated_limits import LimitedRequest
 from grebedyke.units import TICKS_PER_SECOND
 from grebedyke.wire import http
 from grebedyke.wire.discovery import entries
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -16,7 +16,7 @@
 from benchmarks.capacity import cpu
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
-from grebedyke.rig.fleet import RAMP, Rig
+from grebedyke.testbed.process_cluster import RAMP, Rig
 
 ZONES = "a", "b", "c", "d"
 LOOK = 0.1
--- a/benchmarks/words.py
+++ b/benchmarks/words.py
@@ -10,8 +10,8 @@
 import click
 
 from grebedyke.rate_limits.definitions import Limit, LimitKind
-from grebedyke.rig.limited import LimitedRequest, LimitedWorld
-from grebedyke.rig.world import Host, World
+from grebedyke.testbed.simulated_cluster import Host, World
+from grebedyke.testbed.simulated_limits import LimitedRequest, LimitedWorld
 from grebedyke.units import TICKS_PER_SECOND
 
 SPAN = 20 * TICKS_PER_SECOND
--- a/grebedyke/commands/fleet.py
+++ b/grebedyke/commands/fleet.py
@@ -190,9 +190,9 @@
       grebedyke torture --seed 1 --rounds 20
       grebedyke torture --simulated --rounds 2000 --beside 8
     """
-    from grebedyke.rig import broken
+    from grebedyke.testbed import broken_builds
 
-    builds = broken.LIMITS if limits else broken.BUILDS
+    builds = broken_builds.LIMITS if limits else broken_builds.BUILDS
     if limits and not simulated:
         fail("--limits goes with --simulated")
     if broken_build and (broken_build not in builds or not simulated):
@@ -228,15 +228,17 @@
     if simulated:
         from contextlib import nullcontext
 
-        from grebedyke.rig import broken, limited, world
+        from grebedyke.testbed import broken_builds, simulated_cluster, simulated_limits
 
-        with broken.build(broken_build) if broken_build else nullcontext():
+        with broken_builds.build(broken_build) if broken_build else nullcontext():
             voters = 3 if processes < 7 else 5
-            found, played = (limited if limits else world).play(seed, nodes=processes, voters=voters)
+            found, played = (simulated_limits if limits else simulated_cluster).play(
+                seed, nodes=processes, voters=voters
+            )
         return seed, [[str(x) for x in row] for row in found], dict(played.done), {}
-    from grebedyke.rig import rounds
+    from grebedyke.testbed import trial
 
-    played = asyncio.run(rounds.play(seed, processes=processes, seconds=seconds, older=older))
+    played = asyncio.run(trial.play(seed, processes=processes, seconds=seconds, older=older))
     return seed, [[str(x) for x in row] for row in played.broken], dict(played.done), played.logs
 
 
--- a/grebedyke/commands/scale.py
+++ b/grebedyke/commands/scale.py
@@ -86,11 +86,11 @@
       grebedyke scale --nodes 40 --real 3 --for 20
       grebedyke scale --nodes 760 --real 20 --seed 1 --for 120 --scene cut --json cut.json
     """
-    from grebedyke.rig import broken, figures
-    from grebedyke.rig import scale as scales
     from grebedyke.standin import talk
+    from grebedyke.testbed import broken_builds, scale_figures
+    from grebedyke.testbed import scale_run as scales
 
-    builds = broken.BUILDS | broken.LIMITS | broken.SCALE
+    builds = broken_builds.BUILDS | broken_builds.LIMITS | broken_builds.SCALE
     if build and build not in builds:
         fail(f"--build is one of these: {'; '.join(builds)}")
     if wait * 4 > lease:
@@ -117,7 +117,7 @@
             )
         )
         if simulated:
-            from grebedyke.rig.simulated import beside
+            from grebedyke.testbed.simulated_fleet import beside
 
             result["simulated"] = beside(
                 scales.Run(nodes=nodes, real=0, seed=seed, scene=scene, lease=lease, wait=wait),
@@ -129,7 +129,7 @@
         fail("stopped", 1)
     except (OSError, TimeoutError) as problem:
         fail(str(problem) or repr(problem), 1)
-    for line in figures.lines(result):
+    for line in scale_figures.lines(result):
         click.echo(line)
     for row in result["hollow_beside_real"]:
         if not row["within"]:
@@ -144,7 +144,7 @@
         )
     if json_path:
         Path(json_path).write_text(json.dumps(result, indent=1, default=str) + "\n")
-    wrong = [*figures.verdict(result)]
+    wrong = [*scale_figures.verdict(result)]
     for line in wrong:
         click.echo(line)
     raise SystemExit(3 if wrong else 0)
--- a/grebedyke/consensus/actions.py
+++ b/grebedyke/consensus/actions.py
@@ -1,7 +1,7 @@
 """What a component asks of its host: one class a kind of action.
 
-A component only returns these; the host (`service/component_host.py`, in simulated time `rig/world.py`)
-carries them out.
+A component only returns these; the host carries them out (`service/component_host.py`, and in simulated time
+`testbed/simulated_cluster.py`).
 """
 
 from typing import Any, NamedTuple
--- a/grebedyke/consensus/component.py
+++ b/grebedyke/consensus/component.py
@@ -1,7 +1,8 @@
 """The interface between a component of a fleet node and its host.
 
-A component does no I/O. Its host (`service/component_host.py` on sockets, `rig/world.py` in simulated time)
-tells it what happened, with the time in ticks, and then takes `next_action(now)` until that gives None.
+A component does no I/O. Its host (`service/component_host.py` on sockets, `testbed/simulated_cluster.py` in
+simulated time) tells it what happened, with the time in ticks, and then takes `next_action(now)` until that
+gives None.
 """
 
 from abc import ABC, abstractmethod
--- a/grebedyke/rig/counted.py
+++ b/grebedyke/testbed/counted_node.py
@@ -1,6 +1,7 @@
 """A real node of a scale run, with the same instruments around its parts as a hollow one has.
 
-python -m grebedyke.rig.counted: the rig's launch, told by GREBEDYKE_SCALE beside; only a scale run starts it.
+Started by a scale run as `python -m grebedyke.testbed.counted_node`: the launcher, with the instruments that
+GREBEDYKE_SCALE describes.
 """
 
 import asyncio
@@ -13,9 +14,9 @@
 import orjson
 
 from grebedyke.model import SeededRandom
-from grebedyke.rig import broken, launch
-from grebedyke.rig.station import Station
-from grebedyke.rig.taps import Demand, Seen, Tap, operation
+from grebedyke.testbed import broken_builds, launcher
+from grebedyke.testbed.instrumentation import Demand, Seen, Tap, operation
+from grebedyke.testbed.process_agent import Station
 
 
 class Real:
@@ -58,8 +59,8 @@
         station = Station(node.loop, {host.me: host}, seen, passes, told["folder"])
         tasks.append(asyncio.ensure_future(station.serve(), loop=node.loop))
 
-    with broken.build(told["build"]) if told.get("build") else nullcontext():
-        return launch.main(joined)
+    with broken_builds.build(told["build"]) if told.get("build") else nullcontext():
+        return launcher.main(joined)
 
 
 if __name__ == "__main__":
--- a/grebedyke/rig/hollow.py
+++ b/grebedyke/testbed/hollow_node.py
@@ -1,8 +1,8 @@
 """Hollow nodes, many in a process: the real parts on real datagrams in real time, and nothing else of a node.
 
 No clients, executors and log; the parts are hosted by `service/component_host.py` itself, each node's with a
-socket, a turn and a folder of its own. python -m grebedyke.rig.hollow, told by GREBEDYKE_SCALE (JSON); only a
-scale run starts it. docs/scale.md says how far such a node stands for a real one.
+socket, a turn and a folder of its own. A scale run starts it as `python -m grebedyke.testbed.hollow_node`,
+described by GREBEDYKE_SCALE (JSON). docs/scale.md says how far such a node stands for a real one.
 """
 
 import asyncio
@@ -17,15 +17,15 @@
 
 from grebedyke.consensus import framing
 from grebedyke.model import SeededRandom
-from grebedyke.rig import broken
-from grebedyke.rig.station import BEAT, Station
-from grebedyke.rig.taps import Demand, Seen, Tap, operation
 from grebedyke.service import configuration
 from grebedyke.service.component_host import ComponentHost, NodeAccess
 from grebedyke.service.fleet_assembly import build_components, new_process_id
 from grebedyke.service.log import Gauges
 from grebedyke.service.record_files import RecordFiles
 from grebedyke.service.turn import Turn
+from grebedyke.testbed import broken_builds
+from grebedyke.testbed.instrumentation import Demand, Seen, Tap, operation
+from grebedyke.testbed.process_agent import BEAT, Station
 from grebedyke.wire.peers import Peers
 
 
@@ -144,7 +144,7 @@
     told = orjson.loads(os.environ.pop("GREBEDYKE_SCALE"))
     logger.remove()
     logger.add(sys.stderr, level="WARNING", diagnose=False)
-    with broken.build(told["build"]) if told.get("build") else nullcontext():
+    with broken_builds.build(told["build"]) if told.get("build") else nullcontext():
         asyncio.run(run(told))
 
 
--- a/grebedyke/rig/looking.py
+++ b/grebedyke/testbed/invariant_checker.py
@@ -9,9 +9,9 @@
 from collections import Counter
 
 from grebedyke.rate_limits.definitions import LimitKind
-from grebedyke.rig.limit_judge import FleetLimits, LimitJudge
-from grebedyke.rig.spec import Spec
-from grebedyke.rig.taps import SPAN
+from grebedyke.testbed.instrumentation import SPAN
+from grebedyke.testbed.limit_checker import FleetLimits, LimitJudge
+from grebedyke.testbed.rollout_specification import Spec
 from grebedyke.units import TICKS_PER_SECOND
 
 LOOK = 0.5
--- a/grebedyke/rig/launch.py
+++ b/grebedyke/testbed/launcher.py
@@ -1,4 +1,6 @@
-"""Starts one node of the real program with another clock or another disk: python -m grebedyke.rig.launch.
+"""Starts one node of the real program with another clock or another disk.
+
+The test bed runs it as `python -m grebedyke.testbed.launcher`.
 
 GREBEDYKE_RIG holds JSON: `rate` (of its monotonic clock, since `began`), `wall` (seconds by which its wall
 clock is off), and `disk`, a file with the faults of its disk, which may change while it runs. Only the rig
--- a/grebedyke/rig/station.py
+++ b/grebedyke/testbed/process_agent.py
@@ -15,7 +15,7 @@
 
 import orjson
 
-from grebedyke.rig.taps import lengths, weighed
+from grebedyke.testbed.instrumentation import lengths, weighed
 
 BEAT = 0.02
 # Beats that are late by more than that, in seconds, are counted.
--- a/grebedyke/rig/fleet.py
+++ b/grebedyke/testbed/process_cluster.py
@@ -11,11 +11,13 @@
 from pathlib import Path
 
 from grebedyke.load import fleet as plain
-from grebedyke.rig.doors import Door
-from grebedyke.rig.links import Links
 from grebedyke.standin import talk
+from grebedyke.testbed.network_relay import Links
+from grebedyke.testbed.tcp_proxy import Door
 
-LAUNCH = sys.executable, "-m", "grebedyke.rig.launch"
+LAUNCHER_MODULE = "grebedyke.testbed.launcher"
+# The launcher's name in version 0.1, see `launcher_module`.
+LAUNCHER_MODULE_OF_0_1 = "grebedyke.rig.launch"
 # Short, so that rounds are; the rules' figures are the stand-ins' own.
 LEASE, WAIT, GRACE, RAMP, WINDOW, DRIFT = 1.0, 0.1, 0.5, 1.0, 0.5, 0.02
 
@@ -38,7 +40,7 @@
         zones=plain.ZONES,
         shares=None,
     ):
-        super().__init__(operations, nodes, executors, LAUNCH, seed=seed, zones=zones)
+        super().__init__(operations, nodes, executors, seed=seed, zones=zones)
         self.older, self.shares = older, shares
         self.voters, self.words, self.maintenance = list(range(min(voters, nodes))), words, maintenance
         # A node that starts anew needs its own address back: nothing of another round is on this one.
@@ -117,7 +119,13 @@
         self.done["older version"] += tree is not None
         with log:
             process = await asyncio.create_subprocess_exec(
-                *self.command, env=environ, stderr=log, stdin=asyncio.subprocess.DEVNULL, cwd=tree
+                sys.executable,
+                "-m",
+                launcher_module(tree),
+                env=environ,
+                stderr=log,
+                stdin=asyncio.subprocess.DEVNULL,
+                cwd=tree,
             )
         self.processes[name], self.lives[name] = process, self.lives[name] + 1
         end = asyncio.get_running_loop().time() + plain.STARTS
@@ -238,3 +246,14 @@
             await door.close()
         if self.links:
             self.links.close()
+
+
+def launcher_module(tree):
+    """Returns the module that starts a node of a source tree, which may be of an older version.
+
+    Args:
+        tree: The tree's directory, None for this version.
+    """
+    if tree is None or Path(tree, *LAUNCHER_MODULE.split(".")).with_suffix(".py").exists():
+        return LAUNCHER_MODULE
+    return LAUNCHER_MODULE_OF_0_1
--- a/grebedyke/rig/scale.py
+++ b/grebedyke/testbed/scale_run.py
@@ -22,14 +22,14 @@
 
 from grebedyke.load import fleet as plain
 from grebedyke.load import shape
-from grebedyke.rig.figures import compared, over_limits, rows_of, yardstick
-from grebedyke.rig.fleet import DRIFT, GRACE, RAMP, WINDOW
-from grebedyke.rig.looking import UNTIL, Looking
-from grebedyke.rig.taps import limits_of
 from grebedyke.standin.discovery import Discovery
 from grebedyke.standin.executor import Executor
 from grebedyke.standin.faults import Script
 from grebedyke.standin.model import Worker
+from grebedyke.testbed.instrumentation import limits_of
+from grebedyke.testbed.invariant_checker import UNTIL, Looking
+from grebedyke.testbed.process_cluster import DRIFT, GRACE, RAMP, WINDOW
+from grebedyke.testbed.scale_figures import compared, over_limits, rows_of, yardstick
 
 ZONES = "a", "b", "c", "d", "e"
 # Regions: three zones and two, so that at most one side of a cut has a majority.
@@ -307,7 +307,7 @@
         environ |= {"GREBEDYKE_SCALE": json.dumps(given), "TMPDIR": str(folder), "PYTHONHASHSEED": "0"}
         if real:
             environ |= {"BALANCER_CONFIG": str(path)}
-        module = "grebedyke.rig.counted" if real else "grebedyke.rig.hollow"
+        module = "grebedyke.testbed.counted_node" if real else "grebedyke.testbed.hollow_node"
         child = Child(nodes, module, environ, folder / "log", real)
         self.children.append(child)
         for i in nodes:
--- a/grebedyke/rig/world.py
+++ b/grebedyke/testbed/simulated_cluster.py
@@ -22,7 +22,7 @@
 from grebedyke.maintenance.component import Maintenance
 from grebedyke.maintenance.settings import MaintenanceSettings
 from grebedyke.model import SeededRandom
-from grebedyke.rig.spec import Spec
+from grebedyke.testbed.rollout_specification import Spec
 from grebedyke.units import TICKS_PER_SECOND
 
 LEASE, GRACE, RAMP, WINDOW, WAIT = (
--- a/grebedyke/rig/simulated.py
+++ b/grebedyke/testbed/simulated_fleet.py
@@ -12,11 +12,11 @@
 
 from grebedyke.consensus import framing
 from grebedyke.model import SeededRandom
-from grebedyke.rig.figures import rows_of, yardstick
-from grebedyke.rig.taps import Asked, operation, weighed
-from grebedyke.rig.world import Host, World
 from grebedyke.service import configuration
 from grebedyke.service.fleet_assembly import build_components
+from grebedyke.testbed.instrumentation import Asked, operation, weighed
+from grebedyke.testbed.scale_figures import rows_of, yardstick
+from grebedyke.testbed.simulated_cluster import Host, World
 from grebedyke.units import TICKS_PER_SECOND
 
 TICK = TICKS_PER_SECOND // 5
--- a/grebedyke/rig/limited.py
+++ b/grebedyke/testbed/simulated_limits.py
@@ -6,8 +6,8 @@
 from grebedyke.rate_limits.component import RateLimits
 from grebedyke.rate_limits.definitions import MILLIREQUESTS_PER_REQUEST, Limit, LimitKind
 from grebedyke.rate_limits.lease_terms import LeaseTerms
-from grebedyke.rig.limit_judge import FleetLimits, LimitJudge
-from grebedyke.rig.world import FAULTS, LEASE, World
+from grebedyke.testbed.limit_checker import FleetLimits, LimitJudge
+from grebedyke.testbed.simulated_cluster import FAULTS, LEASE, World
 from grebedyke.units import TICKS_PER_SECOND
 
 # Executors run on for at most so long after a node's death, in ticks.
--- a/grebedyke/rig/rounds.py
+++ b/grebedyke/testbed/trial.py
@@ -9,8 +9,8 @@
 
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
-from grebedyke.rig.fleet import GRACE, RAMP, Rig
-from grebedyke.rig.judge import Judge
+from grebedyke.testbed.process_cluster import GRACE, RAMP, Rig
+from grebedyke.testbed.trial_checker import Judge
 
 OPERATIONS = (
     shape.Operation("hold", "keyed", share=0.4),
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -37,11 +37,11 @@
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.maintenance.component import Maintenance
 from grebedyke.model import SeededRandom
-from grebedyke.rig import limited, world
 from grebedyke.service import configuration
 from grebedyke.service.assembly import assemble
 from grebedyke.service.configuration.reading import NODE
 from grebedyke.service.handover import Channel
+from grebedyke.testbed import simulated_cluster, simulated_limits
 from grebedyke.units import TICKS_PER_SECOND
 from grebedyke.wire import words
 from grebedyke.wire.discovery import entries
@@ -116,7 +116,7 @@
 def view_recalled(node, nodes, data):
     """What a node says after a start from its view: its state, the banned machines, and its file again."""
     agreement = agreement_part(node, [0, 1, 2], nodes, 1_000)
-    settings = world.maintenance_settings(TICKS_PER_SECOND, drift=0.02)
+    settings = simulated_cluster.maintenance_settings(TICKS_PER_SECOND, drift=0.02)
     part = Maintenance(agreement, "f", node, nodes, 1_000, settings)
     part.restore(0, {"view": data})
     banned = sorted(part.take_exclusions()[0].names)
@@ -130,7 +130,10 @@
 
 def simulated_world(kind):
     """The module and the name of the class of simulated fleets, and the function that plays a round."""
-    module, name = {"maintenance": (world, "World"), "limits": (limited, "LimitedWorld")}[kind]
+    module, name = {
+        "maintenance": (simulated_cluster, "World"),
+        "limits": (simulated_limits, "LimitedWorld"),
+    }[kind]
     return module, name, module.play
 
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -12,8 +12,8 @@
 from grebedyke.consensus.messages import Accepted
 from grebedyke.maintenance.rollout import Rollout
 from grebedyke.model import SeededRandom
-from grebedyke.rig import broken
-from grebedyke.rig.world import World
+from grebedyke.testbed import broken_builds
+from grebedyke.testbed.simulated_cluster import World
 
 ROUND_TIMEOUT = 500
 STEP = 100
@@ -155,7 +155,7 @@
     It had been told the others' incarnations and not their vote counts, so that both together had forgotten.
     """
     assert not older_copy_votes()
-    with broken.build("who is let in again does not hear how far the others are"):
+    with broken_builds.build("who is let in again does not hear how far the others are"):
         assert older_copy_votes()
 
 
@@ -243,7 +243,7 @@
     past = group.voters[1].acceptor.incarnation
     rejoined = {1: Incarnation(past.number + 1, 77)}
     of_second = group.voters[2].acceptor.incarnation
-    with broken.build(build) if build else nullcontext():
+    with broken_builds.build(build) if build else nullcontext():
         proposer.on_accepted(now, 1, Accepted("k", round_.ballot, past, {}, 5))
         proposer.on_accepted(now, 2, Accepted("k", round_.ballot, of_second, rejoined, 6))
     assert bool(results) == bool(build)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -24,9 +24,9 @@
 from grebedyke.rate_limits.messages import PlaceAnswer, PlaceRequest, ShareGrant, ShareRequest
 from grebedyke.rate_limits.request_limiter import RequestLimiter
 from grebedyke.rate_limits.token_bucket import TokenBucket
-from grebedyke.rig import broken, limited, rounds
-from grebedyke.rig.fleet import Rig
-from grebedyke.rig.judge import Judge
+from grebedyke.testbed import broken_builds, simulated_limits, trial
+from grebedyke.testbed.process_cluster import Rig
+from grebedyke.testbed.trial_checker import Judge
 
 # Ten requests a second, a burst of ten.
 LIMIT = Limit("l", LimitKind.RATE, 10_000, 10, 0, None, None, False)
@@ -44,9 +44,11 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_no_drawn_round_lets_more_through_than_the_limits(seed):
     """Links, processes and disks fail, demand moves and limits change: never more is admitted in all."""
-    violations, world = limited.play(seed, **SHAPES[seed % len(SHAPES)])
+    violations, world = simulated_limits.play(seed, **SHAPES[seed % len(SHAPES)])
     assert not violations
-    assert world.done["went through"] > 1_000 and any(world.done[kind] for kind in limited.LIMIT_FAULTS)
+    assert world.done["went through"] > 1_000 and any(
+        world.done[kind] for kind in simulated_limits.LIMIT_FAULTS
+    )
 
 
 # By broken build, where a drawn round shows it: the shape, and a seed.
@@ -62,8 +64,8 @@
 def test_broken_builds_are_caught_by_drawn_rounds():
     """Each of these builds admits more than a limit in one of four rounds; use in calm does not count."""
     for name, (which, first) in CAUGHT.items():
-        with broken.build(name):
-            plays = (limited.play(seed, **SHAPES[which])[0] for seed in range(first, first + 4))
+        with broken_builds.build(name):
+            plays = (simulated_limits.play(seed, **SHAPES[which])[0] for seed in range(first, first + 4))
             clauses = (clause for violations in plays for _, clause, _ in violations)
             assert any(clause != "the limit is used" for clause in clauses), name
 
@@ -175,10 +177,10 @@
 
 def test_broken_builds_are_caught_by_hand():
     """Each broken build is caught by a drawn round or by the case that bears on it, which else holds."""
-    assert {*CAUGHT} | {*BY_HAND} == {*broken.LIMITS}
+    assert {*CAUGHT} | {*BY_HAND} == {*broken_builds.LIMITS}
     for name, holds in BY_HAND.items():
         assert holds(), name
-        with broken.build(name):
+        with broken_builds.build(name):
             assert not holds(), name
 
 
@@ -326,7 +328,7 @@
     Returns:
         The next holder with its term, and each node's row of the first limit.
     """
-    plan = shape.arrivals(77, "poisson", 85, 14, "exponential", 0.03, rounds.OPERATIONS)
+    plan = shape.arrivals(77, "poisson", 85, 14, "exponential", 0.03, trial.OPERATIONS)
     load = asyncio.ensure_future(clients.play(plan))
     await asyncio.sleep(3)
     await rig.end(first_holder)
@@ -355,7 +357,7 @@
     ]
 
     async def story():
-        rig = Rig(rounds.OPERATIONS, 3, 6, seed=77, shares=limits)
+        rig = Rig(trial.OPERATIONS, 3, 6, seed=77, shares=limits)
         try:
             await rig.start()
             first = await lease_holder(rig)
@@ -363,7 +365,7 @@
             second, shares = await lose_holder_and_halve(rig, first[0], limits, clients)
             rig.fill(clients.ledger)
             judge = Judge()
-            judge.limits(clients.ledger, limits, rounds.LATE)
+            judge.limits(clients.ledger, limits, trial.LATE)
             return first, second, shares, clients.ledger.counts(), judge
         finally:
             await rig.close()
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -10,7 +10,7 @@
 from grebedyke.maintenance.rollout import MachineState, MachineStatus, Rollout, RolloutPhase
 from grebedyke.maintenance.settings import MaintenanceSettings
 from grebedyke.model import SeededRandom
-from grebedyke.rig import broken
+from grebedyke.testbed import broken_builds
 
 LEASE = 10_000
 DRAIN_GRACE = 5_000
@@ -72,7 +72,7 @@
     Counted from the answer, a lease would outlast the bound by which the driver takes it as ended.
     """
     assert certain_until(10) == certain_until(9_000) == LEASE
-    with broken.build("a lease is reckoned from the answer"):
+    with broken_builds.build("a lease is reckoned from the answer"):
         assert certain_until(9_000) != LEASE
 
 
@@ -85,7 +85,7 @@
         settings = make_settings(drift=drift)
         lease_end = settings.lease / (1 - drift / 2) * (1 + drift / 2)
         assert settings.lease_bound() >= lease_end
-        with broken.build("no drift"):
+        with broken_builds.build("no drift"):
             assert drift == 0 or settings.lease_bound() < lease_end
 
 
@@ -98,7 +98,7 @@
     assert commands.confirm_machine_back(rollout, "e", 4).rollout is rollout
     confirmed = commands.confirm_machine_back(rollout, "e", 9).rollout
     assert confirmed.machines["e"].state == MachineState.BACK
-    with broken.build("numbers are not compared"):
+    with broken_builds.build("numbers are not compared"):
         assert commands.confirm_machine_back(rollout, "e", 4).rollout is not rollout
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,9 +15,9 @@
 
 from grebedyke.commands.main import cli
 from grebedyke.rate_limits.definitions import LimitKind
-from grebedyke.rig import broken, figures, scale, simulated
-from grebedyke.rig.looking import Looking
-from grebedyke.rig.taps import SPAN, Seen
+from grebedyke.testbed import broken_builds, scale_figures, scale_run, simulated_fleet
+from grebedyke.testbed.instrumentation import SPAN, Seen
+from grebedyke.testbed.invariant_checker import Looking
 
 # Times decide nothing here: all agree in the end, however slow this machine is just now.
 SMALL = {"lease": 0.4, "wait": 0.1, "within": 100.0}
@@ -47,7 +47,7 @@
     async def beside():
         return await asyncio.gather(
             *(
-                scale.Run(**{**SMALL, "seed": seed, **shape}).play()
+                scale_run.Run(**{**SMALL, "seed": seed, **shape}).play()
                 for seed, shape in enumerate(runs.values(), 1)
             )
         )
@@ -67,7 +67,7 @@
     assert {role for role, _ in rows} == {"holder", "voter", "other"}
     assert sum(row["nodes"] for row in rows.values()) == told["shape"]["nodes"]
     assert told["hollow_beside_real"]
-    for key in figures.COUNTED:
+    for key in scale_figures.COUNTED:
         # In some window of each role: on a machine that stands still a window may have nothing in it.
         seen = {
             row["role"]
@@ -88,7 +88,7 @@
 
 def test_broken_builds_are_caught_by_counts(played):
     """Each keeps all promises and costs too much; the honest build is caught in none of these scenes."""
-    assert [*CAUGHT] == [*broken.SCALE] and played["calm"]["broken"] == played["cut"]["broken"] == []
+    assert [*CAUGHT] == [*broken_builds.SCALE] and played["calm"]["broken"] == played["cut"]["broken"] == []
     assert {name: {row[1] for row in played[name]["broken"]} for name in CAUGHT} == {
         name: {clause} for name, (_, clause) in CAUGHT.items()
     }
@@ -96,8 +96,8 @@
 
 def test_the_same_fleet_in_simulated_time_says_as_much():
     """By the settings: each lease four asks to three voters and three for shares."""
-    run = scale.Run(nodes=6, real=0, lease=2.0, seed=2)
-    told = simulated.beside(run, 20.0)
+    run = scale_run.Run(nodes=6, real=0, lease=2.0, seed=2)
+    told = simulated_fleet.beside(run, 20.0)
     rows = {row["role"]: row for row in told["roles"]}
     assert told["boards_a_second"] == 0 and {role: row["nodes"] for role, row in rows.items()} == {
         "holder": 1,
@@ -109,7 +109,7 @@
     assert rows["other"]["messages_in"]["median"] == rows["other"]["messages_out"]["median"]
     out = [rows[role]["messages_out"]["median"] for role in ("other", "voter", "holder")]
     assert out == sorted(out) and out[0] < out[1] < out[2]
-    scene = simulated.beside(scale.Run(nodes=6, real=0, lease=2.0, scene="peak", seed=2), 5.0)
+    scene = simulated_fleet.beside(scale_run.Run(nodes=6, real=0, lease=2.0, scene="peak", seed=2), 5.0)
     assert scene["boards_a_second"] > 1 and "driver" in {row["role"] for row in scene["roles"]}
 
 
@@ -161,11 +161,11 @@
         "calls": 1.0,
         "memory": 1e6,
     }
-    over = figures.over_limits({"calm": {"seconds": 5.0, "nodes": [node]}})
+    over = scale_figures.over_limits({"calm": {"seconds": 5.0, "nodes": [node]}})
     assert [(row["role"], row["what"], row["figure"]) for row in over] == [("holder", "bytes", 3_100.0)]
     told = {"over": over, "broken": [(1.0, "one value", "x")], "void": None}
-    assert [line.split(":")[0] for line in figures.verdict(told)] == ["over the limit", "broken"]
-    rows = figures.compared([node, {**node, "real": True, "bytes_out": 2_000.0, "cpu_process": 2.0}])
+    assert [line.split(":")[0] for line in scale_figures.verdict(told)] == ["over the limit", "broken"]
+    rows = scale_figures.compared([node, {**node, "real": True, "bytes_out": 2_000.0, "cpu_process": 2.0}])
     differ = {row["count"]: row["why"] == "not explained" for row in rows if not row["within"]}
     assert differ == {"bytes_out": True, "cpu_process": False}
 
@@ -195,7 +195,7 @@
     assert code == 2 and f"port {port} of 127.0.0.1: address already in use" in line
     code, line = one_line("--nodes", 200, preexec_fn=few_descriptors)
     assert code == 2 and "descriptors are needed and 96 allowed" in line
-    monkeypatch.setattr(scale, "memory", lambda: (1 << 30, 1 << 29))
+    monkeypatch.setattr(scale_run, "memory", lambda: (1 << 30, 1 << 29))
     for words, said in (
         (("--nodes", 760), "MB are needed and 512 MB are there"),
         (("--nodes", 2_000, "--each", 1), "processes are more than 300"),
@@ -244,7 +244,7 @@
 
 
 def test_a_plain_node_imports_nothing_of_it():
-    code = "import sys, grebedyke.service.start; print([m for m in sys.modules if '.rig' in m])"
+    code = "import sys, grebedyke.service.start; print([m for m in sys.modules if '.testbed' in m])"
     told = subprocess.run(
         [sys.executable, "-c", code],
         capture_output=True,
--- a/tests/test_rig.py
+++ b/tests/test_testbed.py
@@ -11,12 +11,12 @@
 
 from grebedyke.commands.main import cli
 from grebedyke.load import fleet as plain
-from grebedyke.rig import rounds
-from grebedyke.rig.fleet import Rig
-from grebedyke.rig.judge import Judge
-from grebedyke.rig.launch import LyingFiles
 from grebedyke.service.record_files import RecordFiles
 from grebedyke.standin import talk
+from grebedyke.testbed import trial
+from grebedyke.testbed.launcher import LyingFiles
+from grebedyke.testbed.process_cluster import Rig
+from grebedyke.testbed.trial_checker import Judge
 
 # Each fault comes in some round: one that did not happen proves nothing.
 # Seed 1 goes on under limits: without kills, which leave it little more than its floors.
@@ -32,12 +32,12 @@
 def test_a_plan_goes_through_a_fleet_under_faults_and_no_invariant_breaks():
     async def story():
         return await asyncio.gather(
-            *(rounds.play(seed, kinds=kinds, seconds=6.0, pace=1.5) for seed, kinds in ROUNDS)
+            *(trial.play(seed, kinds=kinds, seconds=6.0, pace=1.5) for seed, kinds in ROUNDS)
         )
 
     played = asyncio.run(story())
     assert [one.broken for one in played] == [[]] * len(ROUNDS)
-    done = rounds.total(played)
+    done = trial.total(played)
     assert all(one.done["worked at"] >= 6 and one.done["succeeded"] > 10 for one in played), [
         (one.seed, one.done["worked at"], one.done["succeeded"]) for one in played
     ]
@@ -96,7 +96,7 @@
 
 async def one_node(tmp_path, change):
     """The exit code and last words of a node whose file is changed before it starts."""
-    rig = Rig(rounds.OPERATIONS, 3, 2)
+    rig = Rig(trial.OPERATIONS, 3, 2)
     rig.told_honestly = rig.told
 
     def told(name):
@@ -138,7 +138,7 @@
     assert second.lock()
 
     async def story():
-        rig = Rig(rounds.OPERATIONS, 3, 2)
+        rig = Rig(trial.OPERATIONS, 3, 2)
         try:
             await rig.start()
             await rig.end("n2")
@@ -160,7 +160,7 @@
         return got.exit_code, (got.output + got.stderr).strip()
 
     async def story():
-        rig = Rig(rounds.OPERATIONS, 3, 4)
+        rig = Rig(trial.OPERATIONS, 3, 4)
         try:
             await rig.start()
             nodes = [x for name in rig.nodes for x in ("--node", "%s:%d" % rig.consoles[name])]
@@ -222,7 +222,7 @@
 
 def test_a_new_process_beside_the_old_one_keeps_what_is_out():
     async def story():
-        rig = Rig(rounds.OPERATIONS, 3, 4)
+        rig = Rig(trial.OPERATIONS, 3, 4)
         try:
             await rig.start()
             plan, told = {"machines": ["s-1"], "most": 1, "workMs": 60_000}, (0, "")
@@ -277,4 +277,4 @@
         env={**os.environ, "PYTHONPATH": "."},
     )
     assert told.stdout.strip() == "[]"
-    assert plain.settings(rounds.OPERATIONS, 3, 0, "a")["limits"].get("peerMessages") is None
+    assert plain.settings(trial.OPERATIONS, 3, 0, "a")["limits"].get("peerMessages") is None
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from grebedyke.rig import broken
-from grebedyke.rig.world import FAULTS, play
+from grebedyke.testbed import broken_builds
+from grebedyke.testbed.simulated_cluster import FAULTS, play
 
 SHAPES = [
     {"kinds": None},
@@ -60,5 +60,5 @@
 
 def caught(name):
     shape, first = CAUGHT[name]
-    with broken.build(name):
+    with broken_builds.build(name):
         return any(play(seed, **shape)[0] for seed in range(first, first + 8))
