--- a/grebedyke/consensus/framing.py
+++ b/grebedyke/consensus/framing.py
@@ -13,7 +13,7 @@
 import msgpack
 
 VERSION = 2
-"""A datagram's first byte. Gossip between nodes (`wire/words.py`) begins with 1."""
+"""A datagram's first byte. Gossip between nodes (`wire/peer_codec.py`) begins with 1."""
 LARGEST_DATAGRAM = 1_200
 """In bytes."""
 MAX_FRAGMENTS = 64
--- a/grebedyke/testbed/counted_node.py
+++ b/grebedyke/testbed/counted_node.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.testbed import broken_builds, launcher
 from grebedyke.testbed.instrumentation import Demand, Seen, Tap, operation
 from grebedyke.testbed.process_agent import Station
--- a/grebedyke/testbed/hollow_node.py
+++ b/grebedyke/testbed/hollow_node.py
@@ -16,7 +16,7 @@
 from loguru import logger
 
 from grebedyke.consensus import framing
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.service import configuration
 from grebedyke.service.component_host import ComponentHost, NodeAccess
 from grebedyke.service.fleet_assembly import build_components, new_process_id
--- a/grebedyke/testbed/simulated_cluster.py
+++ b/grebedyke/testbed/simulated_cluster.py
@@ -21,7 +21,7 @@
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.maintenance.component import Maintenance
 from grebedyke.maintenance.settings import MaintenanceSettings
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.testbed.rollout_specification import Spec
 from grebedyke.units import TICKS_PER_SECOND
 
--- a/grebedyke/testbed/simulated_fleet.py
+++ b/grebedyke/testbed/simulated_fleet.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 from grebedyke.consensus import framing
-from grebedyke.model import SeededRandom
+from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.service import configuration
 from grebedyke.service.fleet_assembly import build_components
 from grebedyke.testbed.instrumentation import Asked, operation, weighed
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -12,10 +12,12 @@
 import pytest
 from crossing import ROW, TERMS, Client, Executor, Place, until
 
+from grebedyke.model.actions import Forward
+from grebedyke.model.peer_messages import SlotGrant, SlotRequest
 from grebedyke.rate_limits.definitions import Limit, LimitKind
 from grebedyke.rate_limits.lease_terms import LeaseTerms
 from grebedyke.rate_limits.request_limiter import RequestLimiter
-from grebedyke.wire import words
+from grebedyke.wire import peer_codec
 from grebedyke.wire.executors import Line
 
 LATE, PAST = 0.1, 0.16
@@ -148,7 +150,7 @@
         await until(lambda: time.monotonic() > end)
 
     def held(self):
-        return [inv.id for inv in self.dispatcher.held if inv.held]
+        return [inv.id for inv in self.dispatcher.queue.waiting if inv.queued]
 
     async def ends(self, id, state="done"):
         """Call-backs for whatever is out of this one."""
@@ -203,7 +205,7 @@
     """For want of credit: the one executor has work."""
     async with Scene() as scene:
         first, clients = scene.clients(1, 0), scene.clients(number)
-        for e in scene.dispatcher.fleet.all.values():
+        for e in scene.dispatcher.endpoints.by_id.values():
             e.credit = 1.0
         scene.hand_in(first)
         await until(lambda: b"r0" in scene.recorder.came, "the work")
@@ -218,20 +220,24 @@
 
 async def waits_for_a_lender(number):
     async with Scene(number, limits={"peerMessages": True}, balancers=2) as scene:
-        asks, fleet = {}, scene.dispatcher.fleet
-        scene.place.desk.peers.send = lambda to, body: asks.update(
-            {words.unpack(body)[1]: words.unpack(body)} if words.unpack(body)[0] == "ask" else {}
-        )
-        fleet.keeper = lambda group, now, silent=False: 1
+        asks, fleet = {}, scene.dispatcher.endpoints
+
+        def keep_asks(to, body):
+            message = peer_codec.decode(body)
+            if isinstance(message, SlotRequest):
+                asks[message.number] = message
+
+        scene.place.desk.peers.send = keep_asks
+        fleet.coordinators.node_for = lambda group, now: 1
         clients = scene.clients(number)
         scene.hand_in(clients)
         await until(lambda: len(asks) == number and len(scene.held()) == number, "the asks")
         scene.leave(clients)
         await scene.past()
         for number, ask in asks.items():
-            scene.place.turn.put(scene.place.desk.heard, 1, words.pack("lend", number, ask[2]))
+            scene.place.turn.put(scene.place.desk.heard, 1, peer_codec.encode(SlotGrant(number, ask.rank)))
         await until(lambda: not scene.place.turn.inbox)
-        fleet.keeper = lambda group, now, silent=False: 0
+        fleet.coordinators.node_for = lambda group, now: 0
         return await scene.finish()
 
 
@@ -241,7 +247,7 @@
     async def scene_of(number):
         async with Scene(max(number, 2), limits={"connectTimeoutMs": connect}) as scene:
             scene.recorder.answer = lambda id: answer
-            clients, executors = scene.clients(number), scene.dispatcher.fleet.all.values()
+            clients, executors = scene.clients(number), scene.dispatcher.endpoints.by_id.values()
             scene.hand_in(clients)
             owed = scene.owed
             await until(
@@ -249,17 +255,17 @@
                 "the first forwards",
             )
             for e in executors:
-                e.shut = 1 << 60
+                e.ejected_until = 1 << 60
             await until(
-                lambda: len([i for i in scene.dispatcher.held if i.held and i.forwards]) == number,
+                lambda: len([i for i in scene.dispatcher.queue.waiting if i.queued and i.attempts]) == number,
                 "that they are held again",
             )
             scene.recorder.answer = lambda id: ACCEPTED
             scene.leave(clients)
             await scene.past()
             for e in executors:
-                e.shut = 0
-                e.full.clear()
+                e.ejected_until = 0
+                e.rejected_until.clear()
             return await scene.finish()
 
     return scene_of
@@ -307,8 +313,8 @@
     async def scene_of(number):
         async with Scene(2 * number + 2, **CUTS) as scene:
             d, recorder = scene.dispatcher, scene.recorder
-            d.cutoffs.best, d.cutoffs.freed, d.cutoffs.at = [500], 9, 1 << 60
-            d.fleet.lay(0.5)
+            d.cutoffs.in_force, d.cutoffs.slots_freed, d.cutoffs.next_fit = [500], 9, 1 << 60
+            d.endpoints.assign_tiers(0.5)
             recorder.may_end.clear()
             clients = scene.clients(number)
             scene.hand_in(clients)
@@ -317,14 +323,16 @@
                 await scene.ends(id, "started")
             await until(lambda: len(recorder.deletes) == number, "the cuts")
             if during == "held":
-                for e in d.fleet.all.values():
-                    e.shut = scene.place.turn.clock() + 4_000
+                for e in d.endpoints.by_id.values():
+                    e.ejected_until = scene.place.turn.clock() + 4_000
                 recorder.may_end.set()
-                await until(lambda: len([i for i in d.held if i.held and i.tier]) == number, "tier one")
+                await until(
+                    lambda: sum(bool(i.queued and i.tier) for i in d.queue.waiting) == number, "tier one"
+                )
             scene.leave(clients)
             await scene.past()
             recorder.may_end.set()
-            d.cutoffs.best = None
+            d.cutoffs.in_force = None
             return await scene.finish()
 
     return scene_of
@@ -337,7 +345,7 @@
         terms = LeaseTerms(node_count=1, lease=1_000_000, clock_drift=0.02, run_on=500)
         limiter = RequestLimiter([limit], terms, scene.place.turn.clock())
         limiter.meters[limit.wire_id].receive_share(scene.place.turn.clock(), 1, 1 << 60)
-        scene.dispatcher.shares.limits = limiter
+        scene.dispatcher.quotas.limits = limiter
         first, clients = scene.clients(1, 0), scene.clients(number)
         scene.hand_in(first)
         await until(lambda: b"r0" in scene.recorder.came)
@@ -414,7 +422,7 @@
         async with Scene(number + 3) as scene:
             await scene.another(b"z0")
             desk, clients, others, turns = scene.place.desk, scene.clients(number), [], list(lengths)
-            forward = desk.deeds["forward"]
+            forward = desk.carriers[Forward]
 
             def slow(now, *what):
                 forward(now, *what)
@@ -426,7 +434,7 @@
                     if turns:
                         others.append(Client(scene.place.address).hand_in("y%d" % (len(others) + 1)))
 
-            desk.deeds["forward"] = slow
+            desk.carriers[Forward] = slow
             await until(lambda: len(scene.place.door.clients) >= number)
             scene.hand_in(clients)
             await until(lambda: not turns, "the turns")
@@ -446,7 +454,7 @@
     async with Scene(number) as scene:
         await scene.another(b"z0")
         desk, clients, done = scene.place.desk, scene.clients(number), []
-        forward = desk.deeds["forward"]
+        forward = desk.carriers[Forward]
 
         def slow(now, *what):
             forward(now, *what)
@@ -454,7 +462,7 @@
                 done.append(what)
                 time.sleep(0.07)
 
-        desk.deeds["forward"] = slow
+        desk.carriers[Forward] = slow
         await until(lambda: len(scene.place.door.clients) >= number)
         scene.no_stall()
         scene.hand_in(clients)
@@ -625,8 +633,8 @@
             client = scene.clients(1)[b"r1"]
             client.socket.sendall(b"".join(Client.head(id, 3) + b"abc" for id in ("r1", "r2", "r3")))
             await until(lambda: b"r1" in scene.recorder.came, "the first forward")
-            for e in scene.dispatcher.fleet.all.values():
-                e.shut = 1 << 60
+            for e in scene.dispatcher.endpoints.by_id.values():
+                e.ejected_until = 1 << 60
             await scene.ends(b"r1")
             await until(lambda: scene.held() == [b"r2"], "that the second is held")
             first = await client.answer()
@@ -635,8 +643,8 @@
                 assert await client.answer() == b""
             client.leave()
             await until(lambda: not scene.owed, "that the client has left")
-            for e in scene.dispatcher.fleet.all.values():
-                e.shut = 0
+            for e in scene.dispatcher.endpoints.by_id.values():
+                e.ejected_until = 0
             await scene.another()
             return first, scene.recorder.came
 
