--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -13,8 +13,8 @@
 import click
 
 from grebedyke.rate_limits.definitions import MILLIREQUESTS_PER_REQUEST
-from grebedyke.rig import limited
-from grebedyke.rig.limited import LEASE, LIMITS, LimitedWorld, Sharing
+from grebedyke.testbed import simulated_limits
+from grebedyke.testbed.simulated_limits import LEASE, LIMITS, LimitedWorld, Sharing
 from grebedyke.units import TICKS_PER_SECOND
 
 FAULTS = {
@@ -51,7 +51,7 @@
 def play(round_):
     """Plays one round, (seed, way of sharing, faults); returns its `Outcome`."""
     seed, sharing, faults = round_
-    _, world = limited.play(seed, way=sharing, **FAULTS[faults])
+    _, world = simulated_limits.play(seed, way=sharing, **FAULTS[faults])
     return Outcome(
         used_before_faults=world.used_before_faults,
         used_amid_faults=world.used_amid_faults,
