--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -36,9 +36,9 @@
 from grebedyke.rate_limits.component import RateLimits
 from grebedyke.rate_limits.definitions import Limit, LimitKind, wire_id_of
 from grebedyke.rate_limits.lease_terms import LeaseTerms
+from grebedyke.service.batch_loop import BatchLoop
 from grebedyke.service.configuration import open_dispatcher, terms
-from grebedyke.service.log import Gauges
-from grebedyke.service.turn import Turn
+from grebedyke.service.metrics import Metrics
 from grebedyke.standin.discovery import Discovery
 from grebedyke.testbed.simulated_cluster import World, maintenance_settings
 from grebedyke.testbed.simulated_limits import LimitedRequest
@@ -595,8 +595,8 @@
 
     async def play():
         loop, heard = asyncio.get_running_loop(), []
-        turn = Turn(loop, Gauges())
-        turn.decide = turn.carry = lambda *args: None
+        turn = BatchLoop(loop, Metrics())
+        turn.next_action = turn.carry_out = lambda *args: None
         done = asyncio.Event()
 
         def take(now, by, data):
--- a/grebedyke/fleetlog/summing.py
+++ b/grebedyke/fleetlog/summing.py
@@ -2,9 +2,19 @@
 
 from collections import Counter, defaultdict
 
-from grebedyke.service.log import DEEDS, ENDS, OUTCOMES
-
-COLUMNS = ("nodes", "taken", *OUTCOMES, *DEEDS, *ENDS.values(), "held", "out", "listed", "warnings")
+from grebedyke.service.metrics import ACTIVITY_COUNTS, ANSWER_COUNTS, FAILURE_COUNTS
+
+COLUMNS = (
+    "nodes",
+    "taken",
+    *ANSWER_COUNTS,
+    *ACTIVITY_COUNTS,
+    *FAILURE_COUNTS.values(),
+    "held",
+    "out",
+    "listed",
+    "warnings",
+)
 
 
 class Fleet:
--- a/grebedyke/model/in_flight.py
+++ b/grebedyke/model/in_flight.py
@@ -1,67 +1,101 @@
-"""What a node keeps of the requests that it has taken, until they are answered. Nothing here decides."""
+"""What a node records of its requests and their attempts. Plain types; nothing here decides."""
 
+from typing import NamedTuple
 
-class Owed:
-    """A request as it came in, until its final answer is written and its attempts have ended.
+
+class RequestLine(NamedTuple):
+    """What goes to the executors of a client's request as it came.
+
+    Attributes:
+        method: Method of the HTTP request.
+        target: Its target.
+        idempotency_key: The client's Idempotency-Key, None if there is none.
+    """
+
+    method: bytes
+    target: bytes
+    idempotency_key: bytes | None
+
+
+class PendingRequest:
+    """A request, until its final answer is written and its attempts have ended.
 
     Attributes:
-        id: The client's identifier.
-        client: The connection that waits for the answer; None once it is answered or has left.
-        line: Method, target and idempotency key.
-        body: The body as it came; dropped once nobody waits.
-        due: When the answer is due here, in ticks.
-        came: When it was taken, in ticks.
-        flights: The attempts, the oldest first.
-        open: How many of them have not ended.
+        id: The client's identifier of it.
+        client: The connection that waits for the answer; None once it is answered or the client has left.
+        line: The `RequestLine`.
+        body: Body of the HTTP request; None once nobody waits for the answer.
+        answer_by: Time by which the answer is written, in ticks.
+        received_at: When it was taken, in ticks.
+        attempts: Its `InFlightAttempt`s in their order, those that have ended included.
+        open_attempts: How many of them have not ended.
     """
 
-    __slots__ = ("body", "came", "client", "due", "flights", "id", "line", "open")
+    __slots__ = ("id", "client", "line", "body", "answer_by", "received_at", "attempts", "open_attempts")
 
-    def __init__(self, id, client, line, body, due, came):
+    def __init__(self, id, client, line, body, answer_by, received_at):
         self.id = id
         self.client = client
         self.line = line
         self.body = body
-        self.due = due
-        self.came = came
-        self.flights = []
-        self.open = 0
+        self.answer_by = answer_by
+        self.received_at = received_at
+        self.attempts = []
+        self.open_attempts = 0
 
 
-class Flight:
-    """An attempt as the host sent it; creating it counts it at its request and its endpoint.
+class InFlightAttempt:
+    """An attempt, until its end is known.
 
     Attributes:
-        owed: The request.
-        n: Position among the request's attempts, from 0.
-        endpoint: Where it was sent.
-        call: The HTTP call; None before it is made.
-        accepted: The executor has taken it over (202).
-        began: The executor has shown that it runs.
-        done: It has ended.
-        untold: It ended in a way of which nothing more can be reported.
-        again: The executor may still report an earlier attempt of the same request.
+        request: The `PendingRequest`.
+        index: Which of the request's attempts.
+        endpoint: The executor's endpoint; its `open_attempts` counts this one.
+        call: The `ExecutorCall` that sends it, None before.
+        is_accepted: Whether the executor has answered that it will call back.
+        has_started: Whether the executor has reported that it runs it.
+        is_ended: Whether its end is known.
+        expects_no_call_back: Whether it ended so that the executor has no call-back to make of it.
+        may_be_mistaken: Whether the executor may still call back about an earlier attempt of the same
+            request. Call-backs do not tell the two apart.
     """
 
-    __slots__ = ("accepted", "again", "began", "call", "done", "endpoint", "n", "owed", "untold")
+    __slots__ = (
+        "request",
+        "index",
+        "endpoint",
+        "call",
+        "is_accepted",
+        "has_started",
+        "is_ended",
+        "expects_no_call_back",
+        "may_be_mistaken",
+    )
 
-    def __init__(self, owed, endpoint):
-        self.owed = owed
-        self.n = len(owed.flights)
+    def __init__(self, request, endpoint):
+        self.request = request
+        self.index = len(request.attempts)
         self.endpoint = endpoint
         self.call = None
-        self.accepted = False
-        self.began = False
-        self.done = False
-        self.untold = False
+        self.is_accepted = False
+        self.has_started = False
+        self.is_ended = False
+        self.expects_no_call_back = False
         # By name: an executor that left the list and came back is another endpoint, with the same call-backs.
-        self.again = any(f.endpoint.name == endpoint.name and not f.untold for f in owed.flights)
-        owed.flights.append(self)
-        owed.open += 1
+        self.may_be_mistaken = any(
+            earlier.endpoint.name == endpoint.name and not earlier.expects_no_call_back
+            for earlier in request.attempts
+        )
+        request.attempts.append(self)
+        request.open_attempts += 1
         endpoint.open_attempts += 1
 
     def end(self):
-        """Takes it out of the books of its request and its endpoint."""
-        self.done = True
-        self.owed.open -= 1
+        """Counts it out at its request and its endpoint."""
+        self.is_ended = True
+        self.request.open_attempts -= 1
         self.endpoint.open_attempts -= 1
+
+    def is_acknowledged(self):
+        """Returns whether the executor has shown that it has the attempt, or its call has ended."""
+        return self.is_accepted or self.has_started or self.call.ended
--- /dev/null
+++ b/grebedyke/service/admin_api.py
@@ -0,0 +1,173 @@
+"""The admin API: operators' calls on the second address. HTTP/1.1, one call to a connection.
+
+A call becomes an event like any other, and is answered in the batch that takes it.
+"""
+
+from urllib.parse import unquote_to_bytes
+
+from loguru import logger
+
+from grebedyke.errors import HttpProtocolError
+from grebedyke.units import TICKS_PER_SECOND
+from grebedyke.wire.connection import Connection
+from grebedyke.wire.http_messages import decode_text, response_head
+
+READY_PATH = b"/v1/readyz"
+ENDPOINTS_PATH = b"/v1/executors/"
+BAN_CALLS = {b"suspend": True, b"resume": False}
+# Ticks after which a connection is ended that has not sent a whole call, or does not take its answer.
+CONNECTION_TIMEOUT = 5 * TICKS_PER_SECOND
+MAX_BODY_BYTES = 4_096
+ACCEPT_BACKLOG = 256
+
+
+class AdminConnection(Connection):
+    """One connection; it ends with the answer to its first call.
+
+    Attributes:
+        api: The `AdminApi`.
+        has_called: Whether its call is read.
+    """
+
+    def __init__(self, api):
+        super().__init__(api.batch.touch, max_body_bytes=api.max_body_bytes)
+        self.api = api
+        self.has_called = False
+
+    def connection_made(self, transport):
+        """Called by asyncio when the connection is up."""
+        super().connection_made(transport)
+        self.api.connection_opened(self)
+
+    def connection_lost(self, exc):
+        """Called by asyncio when the connection has ended."""
+        self.api.connections.pop(self, None)
+
+    def eof_received(self):
+        """Called by asyncio when the caller has ended its side; it may still wait for its answer."""
+        return self.has_called
+
+    def process_input(self):
+        """Takes the first call, and throws away what comes behind it."""
+        if self.has_called:
+            self.ring.skip(self.ring.used)
+            return
+        try:
+            request = self.parser.next_message()
+        except HttpProtocolError as problem:
+            self.has_called = True
+            self.half_closes = True
+            self.ring.skip(self.ring.used)
+            self.answer(problem.status, str(problem))
+            return
+        if request:
+            self.has_called = True
+            self.api.handle(self, request)
+
+    def answer(self, status, text, headers=""):
+        """Answers the call with a line of text."""
+        body = text.encode() + b"\n"
+        self.send(response_head(status, len(body), False, headers), body, close=True)
+
+
+class AdminApi:
+    """The listener of the second address.
+
+    Attributes:
+        batch: The node's `BatchLoop`.
+        is_ready: Returns whether the node serves.
+        set_banned: Called with the time, the name of an endpoint and whether it is banned; returns whether
+            the endpoint is known.
+        max_connections: Connections that are kept; a further one ends the oldest.
+        handle_other_call: Called with connection, method, path and body of a call that is not known here;
+            returns whether it was one of its own. None if there are no others.
+        max_body_bytes: Of a call.
+        connections: The open connections, as keys.
+        server: asyncio's server, None while nobody listens.
+    """
+
+    def __init__(self, batch, is_ready, set_banned, max_connections):
+        self.batch = batch
+        self.is_ready = is_ready
+        self.set_banned = set_banned
+        self.max_connections = max_connections
+        self.handle_other_call = None
+        self.max_body_bytes = MAX_BODY_BYTES
+        self.connections = {}
+        self.server = None
+
+    async def listen(self, loop, host, port):
+        """Begins to accept connections.
+
+        Raises:
+            OSError: The address cannot be used.
+        """
+        self.server = await loop.create_server(
+            lambda: AdminConnection(self), host, port, backlog=ACCEPT_BACKLOG
+        )
+
+    def connection_opened(self, connection):
+        """Called by a connection that is up."""
+        self.connections[connection] = None
+        if len(self.connections) > self.max_connections:
+            # Those who send nothing must not keep the next one from its answer.
+            next(iter(self.connections)).abort()
+        self.batch.call_later(CONNECTION_TIMEOUT, self._end_overdue, connection)
+
+    def _end_overdue(self, now, connection):
+        if connection in self.connections:
+            connection.abort()
+
+    def handle(self, connection, request):
+        """Routes one call of a connection."""
+        path = request.target.partition(b"?")[0]
+        if path == READY_PATH:
+            self._handle_ready_call(connection, request.method)
+            return
+        name, _, call = path.removeprefix(ENDPOINTS_PATH).rpartition(b"/")
+        if path.startswith(ENDPOINTS_PATH) and name and call in BAN_CALLS:
+            self._handle_ban_call(connection, request.method, name, BAN_CALLS[call])
+            return
+        is_known = self.handle_other_call and self.handle_other_call(
+            connection, request.method, path, request.body
+        )
+        if not is_known:
+            connection.answer(404, "no such call")
+
+    def _handle_ready_call(self, connection, method):
+        if method != b"GET":
+            _answer_wrong_method(connection, "GET")
+        elif self.is_ready():
+            connection.answer(200, "ready")
+        else:
+            connection.answer(503, "not ready")
+
+    def _handle_ban_call(self, connection, method, raw_name, is_banned):
+        if method != b"POST":
+            _answer_wrong_method(connection, "POST")
+            return
+        name = decode_text(unquote_to_bytes(raw_name))
+        self.batch.enqueue(self._set_banned, connection, name, is_banned)
+
+    def _set_banned(self, now, connection, name, is_banned):
+        if not self.set_banned(now, name, is_banned):
+            connection.answer(404, "no such executor")
+            return
+        logger.info(
+            "executor {executor} by hand: {state}",
+            event="by-hand",
+            executor=name,
+            state="out" if is_banned else "in use again",
+        )
+        connection.answer(200, "out" if is_banned else "in use")
+
+    def close(self):
+        """Ends all connections and accepts no more."""
+        if self.server:
+            self.server.close()
+        for connection in list(self.connections):
+            connection.close()
+
+
+def _answer_wrong_method(connection, allowed):
+    connection.answer(405, f"this call is a {allowed}", f"Allow: {allowed}\r\n")
--- /dev/null
+++ b/grebedyke/service/attempt_sender.py
@@ -0,0 +1,221 @@
+"""Attempts: sends requests to executors, and reports to the dispatcher how each attempt ended."""
+
+from functools import partial
+
+from grebedyke.model.events import AttemptEnded
+from grebedyke.model.in_flight import InFlightAttempt
+from grebedyke.model.outcome import Outcome
+from grebedyke.service.attempt_cancellation import AttemptCancellation
+from grebedyke.service.metrics import FAILURE_COUNTS
+from grebedyke.units import TICKS_PER_MILLISECOND
+from grebedyke.wire.executor_connection import ACCEPTED_STATUS, CallResult
+from grebedyke.wire.load_reports import report_from_text
+
+# Statuses of an executor that has turned a job away, if a header says that it was not processed.
+REJECTION_STATUSES = (503, 504)
+
+
+class AttemptSender:
+    """Sends attempts and ends each of them exactly once.
+
+    An attempt may end by its response, a call-back, a lost connection, its timeout, a cancel or because its
+    request is over, and several of these may come at once: the first one counts, and all others find
+    `is_ended`.
+
+    Attributes:
+        dispatcher: Is told how attempts end.
+        batch: The node's `BatchLoop`.
+        pool: The `ExecutorPool`.
+        metrics: The node's `Metrics`.
+        settings: The `RequestSettings` in force.
+        requests: The `RequestTable`.
+    """
+
+    def __init__(self, dispatcher, batch, pool, metrics, settings, requests):
+        self.dispatcher = dispatcher
+        self.batch = batch
+        self.pool = pool
+        self.metrics = metrics
+        self.settings = settings
+        self.requests = requests
+        requests.attempts = self
+
+    # Sending.
+
+    def send(self, now, request_id, endpoint_id, timeout):
+        """Begins an attempt.
+
+        Args:
+            now: Time in ticks.
+            request_id: Identifier of a pending request.
+            endpoint_id: Name of the executor.
+            timeout: Ticks after which the attempt is ended.
+        """
+        request = self.requests.pending[request_id]
+        endpoint = self.pool.endpoint(endpoint_id)
+        attempt = InFlightAttempt(request, endpoint)
+        # The client's close may have been read in this very pass of the loop; the request table is told of it
+        # in the next batch. An attempt that began now would run for nobody.
+        has_left = request.client is None or request.client.is_closed()
+        if has_left or attempt.index >= self.settings.max_attempts or timeout <= 0:
+            self.batch.enqueue(self._end_never_sent, attempt)
+            return
+        self.metrics.count("forwards")
+        if attempt.index:
+            self.metrics.count("again")
+        line = request.line
+        headers = self._headers(request, timeout)
+        on_end = partial(self._on_call_end, attempt)
+        attempt.call = endpoint.call(line.method, line.target, headers, request.body, on_end)
+        last_moment = request.answer_by - 2 * self.settings.scheduling_interval
+        self.batch.call_at(min(now + timeout, last_moment), self.end_overdue, attempt)
+        self.batch.call_at(now + self.settings.response_timeout, self.end_unacknowledged, attempt)
+
+    def _headers(self, request, timeout):
+        milliseconds = max(timeout // TICKS_PER_MILLISECOND, 1)
+        headers = [(b"X-Request-ID", request.id), (b"X-Timeout-Ms", b"%d" % milliseconds)]
+        if request.line.idempotency_key is not None:
+            headers.append((b"Idempotency-Key", request.line.idempotency_key))
+        return headers
+
+    def _end_never_sent(self, now, attempt):
+        self.end(now, attempt, Outcome.NEVER_SENT)
+
+    # Responses.
+
+    def _on_call_end(self, attempt, call_end):
+        if not attempt.is_ended:
+            self.batch.enqueue(self._handle_call_end, attempt, call_end)
+
+    def _handle_call_end(self, now, attempt, call_end):
+        if attempt.is_ended:
+            return
+        attempt.expects_no_call_back = _was_not_accepted(call_end)
+        if call_end.result is CallResult.UNSENT:
+            self.end(now, attempt, Outcome.CONNECT_FAILED)
+        elif call_end.result is CallResult.BROKEN:
+            self.end(now, attempt, Outcome.CONNECTION_RESET)
+        elif call_end.status == ACCEPTED_STATUS:
+            attempt.is_accepted = True
+        else:
+            load = call_end.headers.get(b"x-server-load", b"").decode("latin-1")
+            free_slots = report_from_text(load).plausible_free_slots()
+            self.end(now, attempt, _outcome_of_refusal(call_end), free_slots=free_slots)
+
+    # Ends.
+
+    def end(self, now, attempt, outcome, result=b"", free_slots=None):
+        """Ends an attempt; a result goes to its client, if that still waits.
+
+        Args:
+            now: Time in ticks.
+            attempt: An attempt that has not ended.
+            outcome: How it ended.
+            result: The job's result, for the client.
+            free_slots: Slots that the executor reported free; None without a report.
+        """
+        request = attempt.request
+        attempt.end()
+        if attempt.call and not attempt.call.ended:
+            self._limit_response_time(now, attempt.call)
+        if outcome != Outcome.SUCCEEDED:
+            self.metrics.count(FAILURE_COUNTS[outcome])
+        elif request.client:
+            self.requests.respond(now, request, 200, "succeeded", result)
+        event = AttemptEnded(request.id, attempt.index, outcome, request.client is None, free_slots)
+        self.dispatcher.handle(now, event)
+        self.requests.release(now, request)
+
+    def _limit_response_time(self, now, call):
+        """Guards against a response that never ends: it would keep its connection for good.
+
+        The response is waited for at all, since a call-back may come before the 202 on the connection, which
+        can then be used again.
+        """
+        latest = call.started_at + self.settings.response_timeout
+        self.batch.call_at(max(now + 1, latest), lambda now: call.abandon())
+
+    def withdraw_unsent(self, now, attempt):
+        """Ends an attempt that has not left this machine.
+
+        Its connection is still coming up, or the kernel has not taken all its bytes: it provably never ran.
+        """
+        call = attempt.call
+        if call and not (attempt.is_ended or call.ended or call.is_sent()):
+            call.abandon()
+            self.end(now, attempt, Outcome.NEVER_SENT)
+
+    def withdraw_unsent_from(self, now, endpoint_id):
+        """Ends all attempts at an endpoint that have not left this machine."""
+        attempts = [
+            attempt
+            for request in self.requests.pending.values()
+            for attempt in request.attempts
+            if attempt.endpoint.name == endpoint_id
+        ]
+        for attempt in attempts:
+            self.withdraw_unsent(now, attempt)
+
+    def cancel(self, now, request_id, attempt_index):
+        """Cancels an attempt for the dispatcher, which is told of the end once the executor was told."""
+        attempt = self.requests.pending[request_id].attempts[attempt_index]
+        if not attempt.is_ended:
+            self.begin_cancellation(attempt, Outcome.CANCELLED)
+
+    def begin_cancellation(self, attempt, outcome):
+        """Tells the executor to give a job up; see `AttemptCancellation`."""
+        AttemptCancellation(self, attempt, outcome).begin()
+
+    def end_cancelled(self, now, attempt, outcome):
+        """Ends an attempt whose executor was told; an end that came meanwhile counts."""
+        if not attempt.is_ended:
+            self.end(now, attempt, outcome)
+
+    # Timers.
+
+    def end_overdue(self, now, attempt):
+        """Ends an attempt whose time is over.
+
+        The executor is told, but not waited for: there is no time for another attempt, and an answer is due.
+        What never left this machine provably never ran.
+        """
+        if attempt.is_ended or not attempt.call:
+            return
+        request = attempt.request
+        if request.client and now >= request.answer_by - 2 * self.settings.scheduling_interval:
+            # Guards against a second copy of the job: a shutdown or a stall has cut the attempt's time short,
+            # and the dispatcher, which reckons with the client's own time, would retry at once, beside an
+            # attempt that its executor does not yet know to be given up. So the request itself ends here.
+            self.requests.fail_unanswered(now, request)
+            return
+        may_have_arrived = attempt.is_acknowledged() or attempt.call.is_sent()
+        outcome = Outcome.TIMEOUT if may_have_arrived else Outcome.CONNECT_FAILED
+        self.begin_cancellation(attempt, outcome)
+        self.end(now, attempt, outcome)
+
+    def end_unacknowledged(self, now, attempt):
+        """Gives up an attempt of which the executor has shown neither a 202 nor a call-back.
+
+        Guards against a connection that falls silent without an end: all the attempt's time would be lost on
+        it. The executor may still have the job, its 202 be under way, or the connection's end reach it later
+        than the next attempt, so it is told by a cancel as well.
+        """
+        if attempt.is_ended or attempt.is_acknowledged():
+            return
+        was_sent = attempt.call.is_sent()
+        attempt.call.abandon()
+        outcome = Outcome.CONNECTION_RESET if was_sent else Outcome.CONNECT_FAILED
+        self.begin_cancellation(attempt, outcome)
+
+
+def _was_not_accepted(call_end):
+    """Returns whether the executor never accepted the job, so that it has no call-back to make of it."""
+    if call_end.result is CallResult.ANSWERED:
+        return call_end.status != ACCEPTED_STATUS
+    return call_end.result is CallResult.UNSENT
+
+
+def _outcome_of_refusal(call_end):
+    was_not_processed = call_end.headers.get(b"x-not-processed") == b"1"
+    is_rejection = was_not_processed and call_end.status in REJECTION_STATUSES
+    return Outcome.REJECTED if is_rejection else Outcome.FAILED
--- a/grebedyke/service/component_host.py
+++ b/grebedyke/service/component_host.py
@@ -57,7 +57,7 @@
 
     Attributes:
         loop: The event loop, for writes to disk.
-        turn: The node's batches; all calls of components happen in them.
+        batch: The node's `BatchLoop`; all calls of components happen in them.
         record_files: The node's folder.
         components: In the order in which they are asked for actions.
         node: The rest of the node.
@@ -71,9 +71,9 @@
         exclusions: Which endpoints are out.
     """
 
-    def __init__(self, loop, turn, record_files, fleet, components, node):
+    def __init__(self, loop, batch, record_files, fleet, components, node):
         self.loop = loop
-        self.turn = turn
+        self.batch = batch
         self.record_files = record_files
         self.components = components
         self.node = node
@@ -108,7 +108,7 @@
         """
         if not inherited:
             self.exclusions.exclude_all(self.components)
-        self._open_folder(self.turn.clock())
+        self._open_folder(self.batch.clock())
 
     def _open_folder(self, now):
         try:
@@ -137,11 +137,11 @@
                 "fleet: another process has the folder, this one waits for it", event="folder-held"
             )
         self.is_waiting_for_folder = True
-        self.turn.at(now + LOCK_RETRY_INTERVAL, self._open_folder)
+        self.batch.call_at(now + LOCK_RETRY_INTERVAL, self._open_folder)
 
     def _request_batch(self):
         """Has the components asked for their actions."""
-        self.turn.put(do_nothing)
+        self.batch.enqueue(do_nothing)
 
     # What comes in.
 
@@ -177,7 +177,7 @@
         if content is not None and not isinstance(content, dict):
             caller.answer(400, "the call is not a JSON object")
             return True
-        self.turn.put(component.operator_call, caller, method, path, content)
+        self.batch.enqueue(component.operator_call, caller, method, path, content)
         return True
 
     def operator_ban(self, now, name, is_banned):
@@ -235,12 +235,12 @@
             if reason:
                 logger.error("fleet: {file} is not kept: {why}", event="disk", file=action.file, why=reason)
             succeeded = reason is None
-            self.turn.put(component.record_persisted, action.file, action.number, succeeded)
+            self.batch.enqueue(component.record_persisted, action.file, action.number, succeeded)
 
         self.loop.run_in_executor(self.disk_thread, write).add_done_callback(report)
 
     def _wake_at(self, now, component, action):
-        self.turn.at(action.at, do_nothing)
+        self.batch.call_at(action.at, do_nothing)
 
     def _exclude_endpoints(self, now, component, action):
         self.exclusions.request(now, component, action)
--- /dev/null
+++ b/grebedyke/service/configuration_reload.py
@@ -0,0 +1,92 @@
+"""Reloading: puts a changed configuration in force while the node runs."""
+
+from typing import NamedTuple
+
+from loguru import logger
+
+
+class ChangedPart(NamedTuple):
+    """A part of the configuration that may change while the node runs.
+
+    Attributes:
+        sections: Its keys in the configuration.
+        prepare: Called with a configuration; returns the call that puts it in force, or raises before
+            anything has changed.
+    """
+
+    sections: tuple
+    prepare: object
+
+
+class ConfigurationReload:
+    """Reads the configuration anew, and puts it in force whole or not at all.
+
+    Attributes:
+        batch: The node's `BatchLoop`.
+        discovery: The `DiscoveryClient`, whose address may change.
+        configuration: The configuration in force.
+        read_configuration: Reads it anew.
+        parts: The `ChangedPart`s.
+    """
+
+    def __init__(self, batch, discovery, configuration, read_configuration):
+        self.batch = batch
+        self.discovery = discovery
+        self.configuration = configuration
+        self.read_configuration = read_configuration
+        self.parts = []
+
+    def is_outdated(self):
+        """Returns whether the file was written since it was read, or cannot be read any more."""
+        try:
+            configuration = self.read_configuration()
+        except Exception:
+            # Keeps the node alive at a faulty file; the reload that follows logs what is wrong with it.
+            return True
+        # Discovery by the file in both: at the start the environment's address goes before it.
+        is_other_discovery = configuration.get("written") != self.configuration.get("written")
+        return is_other_discovery or self._differs(configuration)
+
+    def _differs(self, configuration):
+        return any(
+            configuration[section] != self.configuration[section]
+            for part in self.parts
+            for section in part.sections
+        )
+
+    def reload(self):
+        """Puts what has changed in force; a faulty file leaves everything as it was."""
+        try:
+            configuration = self.read_configuration()
+            put_in_force = self._prepare(configuration) if self._differs(configuration) else None
+        except Exception as problem:
+            # Keeps the node alive: whatever is wrong with the file, ending here would be a crash.
+            logger.error(
+                "reload refused, the old configuration stays in force: {why}",
+                event="reload-refused",
+                why=str(problem),
+            )
+            return
+        self.configuration = configuration
+        host, port = configuration["discovery"]
+        logger.info(
+            "reload done, discovery at {host}:{port} ({moved}), settings {settings}",
+            event="reload",
+            host=host,
+            port=port,
+            moved="as before" if (host, port) == self.discovery.address else "moved",
+            settings="changed" if put_in_force else "as before",
+        )
+        self.discovery.move(host, port)
+        if put_in_force:
+            # Between the actions of two batches: what has come in before goes by the old settings, whole.
+            self.batch.enqueue(put_in_force)
+
+    def _prepare(self, configuration):
+        calls = [part.prepare(configuration) for part in self.parts]
+
+        def put_in_force(now):
+            for call in calls:
+                call(now)
+
+        return put_in_force
--- /dev/null
+++ b/grebedyke/service/dispatcher_host.py
@@ -0,0 +1,72 @@
+"""Hosts the dispatcher: what the wire brings becomes events, and its actions become messages."""
+
+from loguru import logger
+
+from grebedyke.model import actions
+from grebedyke.service.attempt_sender import AttemptSender
+from grebedyke.service.endpoint_updates import EndpointUpdates
+from grebedyke.service.health_probes import HealthProbes
+from grebedyke.service.job_updates import JobUpdates
+from grebedyke.service.peer_messenger import PeerMessenger
+from grebedyke.service.request_table import RequestTable
+
+
+class DispatcherHost:
+    """The parts that stand between a dispatcher and the wire, and the performers of its actions.
+
+    Attributes:
+        dispatcher: The `Dispatcher`.
+        batch: The node's `BatchLoop`.
+        requests: The `RequestTable`.
+        attempts: The `AttemptSender`.
+        job_updates: The `JobUpdates`.
+        probes: The `HealthProbes`.
+        endpoints: The `EndpointUpdates`.
+        peer_messenger: The `PeerMessenger`.
+        discovery: The `DiscoveryClient`; set once it exists.
+        performers: By type of action, the call that carries it out.
+    """
+
+    def __init__(self, dispatcher, batch, pool, metrics, settings):
+        self.dispatcher = dispatcher
+        self.batch = batch
+        self.requests = RequestTable(dispatcher, batch, metrics, settings)
+        self.attempts = AttemptSender(dispatcher, batch, pool, metrics, settings, self.requests)
+        self.job_updates = JobUpdates(dispatcher, self.requests, self.attempts)
+        self.probes = HealthProbes(dispatcher, batch, pool, metrics, settings)
+        self.endpoints = EndpointUpdates(dispatcher, pool, self.attempts)
+        self.peer_messenger = PeerMessenger(dispatcher)
+        self.discovery = None
+        self.performers = {
+            actions.Forward: self.attempts.send,
+            actions.Cancel: self.attempts.cancel,
+            actions.Throttle: self.requests.throttle,
+            actions.Fail: self.requests.fail,
+            actions.Probe: self.probes.send,
+            actions.WakeAt: self._wake_at,
+            actions.PollEndpointList: self._poll_endpoint_list,
+            actions.Note: self._log_note,
+            actions.SendPeerMessage: self.peer_messenger.send,
+        }
+
+    def apply_settings(self, settings):
+        """Puts changed `RequestSettings` in force."""
+        for part in (self.requests, self.attempts, self.probes):
+            part.settings = settings
+
+    def perform(self, now, action):
+        """Carries out one of `grebedyke.model.actions`."""
+        self.performers[type(action)](now, *action)
+
+    def _wake_at(self, now, at):
+        self.batch.call_at(at, do_nothing)
+
+    def _poll_endpoint_list(self, now):
+        self.discovery.poll(now)
+
+    def _log_note(self, now, text):
+        logger.info("{text}", event="cutoffs", text=text)
+
+
+def do_nothing(now):
+    """An event whose only effect is that a batch follows."""
--- /dev/null
+++ b/grebedyke/service/endpoint_updates.py
@@ -0,0 +1,82 @@
+"""The endpoint list: passes it and operators' bans on, and hands all that is known to a successor."""
+
+from grebedyke.model.endpoint_list import EndpointRow
+from grebedyke.model.events import EndpointListUnavailable, EndpointsChanged
+from grebedyke.units import TICKS_PER_MILLISECOND
+from grebedyke.wire.endpoint_rows import HEALTHY
+from grebedyke.wire.executor_pool import EndpointAddress
+
+EMPTY_RETRY_BUDGET = ((), (), 0, 0)
+
+
+class EndpointUpdates:
+    """Passes the endpoint list on to the pool, the dispatcher and the components of the fleet.
+
+    Attributes:
+        dispatcher: The `Dispatcher`.
+        pool: The `ExecutorPool`.
+        attempts: The `AttemptSender`.
+        unix_time_offset: Added to a Unix time in ticks it gives the node's monotonic time.
+        list_listener: Called with the time, whether the rows are the whole list, and discovery's rows, after
+            the dispatcher was told; may be None.
+    """
+
+    def __init__(self, dispatcher, pool, attempts):
+        self.dispatcher = dispatcher
+        self.pool = pool
+        self.attempts = attempts
+        self.unix_time_offset = 0
+        self.list_listener = None
+
+    def on_list(self, now, is_complete, rows):
+        """Applies the endpoint list or a change of it; the rows are discovery's."""
+        addresses = [EndpointAddress(row.name, row.address, row.state, row.since_ms) for row in rows]
+        self.pool.update_endpoints(is_complete, addresses)
+        changed = [self._row_with_node_time(row) for row in rows]
+        self.dispatcher.handle(now, EndpointsChanged(is_complete, changed))
+        if self.list_listener:
+            self.list_listener(now, is_complete, rows)
+
+    def _row_with_node_time(self, row):
+        # 0 stands for a start that is not known, and stays.
+        started_at = row.since_ms and row.since_ms * TICKS_PER_MILLISECOND + self.unix_time_offset
+        return EndpointRow(row.name, row.zone, row.kind, row.cell, row.state, started_at, row.weight)
+
+    def on_list_unavailable(self, now):
+        """Reports that the list or its subscription could not be had."""
+        self.dispatcher.handle(now, EndpointListUnavailable())
+
+    def set_banned(self, now, endpoint_id, is_banned):
+        """Bans an endpoint or ends the ban; returns whether the endpoint is known."""
+        if is_banned:
+            # What still connects would reach an executor of which the operators were told that it is out.
+            self.attempts.withdraw_unsent_from(now, endpoint_id)
+        return self.dispatcher.set_banned(now, endpoint_id, is_banned)
+
+    # State transfer: the keys are part of the messages between two processes.
+
+    def export_state(self):
+        """Returns what a successor goes on with, in types that JSON has."""
+        dispatcher = self.dispatcher
+        return {
+            "executors": dispatcher.endpoints.record(),
+            "budget": dispatcher.retry_budget.export_state(),
+            "places": [
+                (endpoint.name, endpoint.address, endpoint.since_ms)
+                for endpoint in self.pool.endpoints.values()
+                if endpoint.is_listed and endpoint.address
+            ],
+        }
+
+    def import_state(self, now, state):
+        """Goes on with what another process has exported."""
+        addresses = [
+            EndpointAddress(name, tuple(address), HEALTHY, since_ms)
+            for name, address, since_ms in state["places"]
+        ]
+        self.pool.update_endpoints(True, addresses)
+        self.dispatcher.endpoints.restore(now, state["executors"])
+        # A process of an earlier version exports no retry budget: what it has sent is unknown.
+        budget = state.get("budget") or EMPTY_RETRY_BUDGET
+        self.dispatcher.retry_budget.import_state(now, *budget)
+        self.dispatcher.handle(now, EndpointsChanged(False, []))
--- a/grebedyke/service/fleet_assembly.py
+++ b/grebedyke/service/fleet_assembly.py
@@ -9,6 +9,7 @@
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.service.component_host import LARGEST_CALL, ComponentAction, ComponentHost, NodeAccess
+from grebedyke.service.configuration_reload import ChangedPart
 from grebedyke.service.record_files import RecordFiles
 from grebedyke.units import ticks
 
@@ -107,62 +108,62 @@
         node: The node.
         record_files: In place of the folder of the configuration, for a node that is tried under faults.
     """
-    configuration = node.said
+    parts = node.parts
+    configuration = node.configuration
     section = configuration["fleet"]
     host = ComponentHost(
-        node.loop,
-        node.turn,
+        parts.loop,
+        parts.batch,
         record_files or RecordFiles(section["folder"]),
         section["name"],
-        build_components(configuration, new_process_id(), node.turn.clock()),
-        node_access(node),
+        build_components(configuration, new_process_id(), parts.batch.clock()),
+        node_access(parts),
     )
-    connect_batches(node.turn, host)
-    connect_datagrams(node.peers, host)
-    node.desk.also_listed = host.endpoints_changed
-    console = node.console
-    console.by_hand = host.operator_ban
-    console.others = host.operator_call
-    console.largest = LARGEST_CALL
+    connect_batches(parts.batch, host)
+    connect_datagrams(parts.peers, host)
+    parts.host.endpoints.list_listener = host.endpoints_changed
+    parts.admin_api.set_banned = host.operator_ban
+    parts.admin_api.handle_other_call = host.operator_call
+    parts.admin_api.max_body_bytes = LARGEST_CALL
     connect_rate_limits(node, host.components)
-    node.also = host
+    node.component_host = host
 
 
-def node_access(node):
-    """Returns what the components' host needs of a node."""
-    desk = node.desk
+def node_access(parts):
+    """Returns what the components' host needs of a node's parts."""
+    dispatcher = parts.host.dispatcher
 
     def with_open_attempts(names):
-        endpoints = node.pool.endpoints
+        endpoints = parts.pool.endpoints
         return [name for name in names if name in endpoints and endpoints[name].open_attempts]
 
     return NodeAccess(
-        send_datagram=node.peers.send,
-        set_ban=node.console.by_hand,
+        send_datagram=parts.peers.send,
+        set_ban=parts.admin_api.set_banned,
         with_open_attempts=with_open_attempts,
-        listed_names=lambda: desk.dispatcher.endpoints.by_id,
-        banned_names=lambda: desk.dispatcher.endpoints.banned,
+        listed_names=lambda: dispatcher.endpoints.by_id,
+        banned_names=lambda: dispatcher.endpoints.banned,
     )
 
 
-def connect_batches(turn, host):
+def connect_batches(batch, host):
     """Has each batch of the event loop carry out the components' actions after the dispatcher's."""
-    next_decision = turn.decide
-    carry_decision = turn.carry
+    next_dispatcher_action = batch.next_action
+    carry_out_for_dispatcher = batch.carry_out
 
     def next_action(now):
-        decision = next_decision(now)
-        return decision if decision is not None else host.next_action(now)
+        action = next_dispatcher_action(now)
+        return action if action is not None else host.next_action(now)
 
     def carry_out(now, action):
         if isinstance(action, ComponentAction):
             host.perform(now, action.component, action.action)
         else:
-            carry_decision(now, action)
+            carry_out_for_dispatcher(now, action)
 
-    turn.decide = next_action
-    turn.carry = carry_out
-    turn.last_look = host.expire
+    batch.next_action = next_action
+    batch.carry_out = carry_out
+    batch.before_write = host.expire
 
 
 def connect_datagrams(peers, host):
@@ -187,22 +188,13 @@
         return
     from grebedyke.rate_limits import settings
 
-    node.desk.dispatcher.quotas.limits = rate_limits.request_limiter
-    renew = node.renew
-    differs = node.differs
-
-    def renew_with_limits(configuration):
-        put_rest_in_force = renew(configuration)
+    node.parts.host.dispatcher.quotas.limits = rate_limits.request_limiter
 
+    def prepare(configuration):
         def put_in_force(now):
-            put_rest_in_force(now)
             if configuration["shares"] is not None:
                 rate_limits.change_limits(now, settings.limits_of(configuration["shares"]))
 
         return put_in_force
 
-    def differs_in_limits_too(configuration):
-        return differs(configuration) or configuration["shares"] != node.said["shares"]
-
-    node.renew = renew_with_limits
-    node.differs = differs_in_limits_too
+    node.reloading.parts.append(ChangedPart(("shares",), prepare))
--- /dev/null
+++ b/grebedyke/service/health_probes.py
@@ -0,0 +1,80 @@
+"""Health checks: asks executors for their load on behalf of the dispatcher."""
+
+from grebedyke.model.events import ProbeAnswered
+from grebedyke.model.outcome import Outcome
+from grebedyke.wire.executor_connection import CallResult
+from grebedyke.wire.load_reports import report_from_text
+
+OUTCOMES_BY_STATUS = {200: Outcome.SUCCEEDED, 503: Outcome.REJECTED}
+
+
+class HealthProbes:
+    """Sends probes.
+
+    Attributes:
+        dispatcher: Is told how each probe ended, once.
+        batch: The node's `BatchLoop`.
+        pool: The `ExecutorPool`.
+        metrics: The node's `Metrics`.
+        settings: The `RequestSettings` in force.
+    """
+
+    def __init__(self, dispatcher, batch, pool, metrics, settings):
+        self.dispatcher = dispatcher
+        self.batch = batch
+        self.pool = pool
+        self.metrics = metrics
+        self.settings = settings
+
+    def send(self, now, endpoint_id):
+        """Begins a probe of an endpoint."""
+        self.metrics.count("probes")
+        _Probe(self, endpoint_id).send(now)
+
+
+class _Probe:
+    """One probe until its end is reported.
+
+    Attributes:
+        probes: The `HealthProbes`.
+        endpoint_id: Name of the executor.
+        call: The call that carries it.
+        is_reported: Whether the dispatcher was told of its end.
+    """
+
+    __slots__ = ("probes", "endpoint_id", "call", "is_reported")
+
+    def __init__(self, probes, endpoint_id):
+        self.probes = probes
+        self.endpoint_id = endpoint_id
+        self.call = None
+        self.is_reported = False
+
+    def send(self, now):
+        probes = self.probes
+        endpoint = probes.pool.endpoint(self.endpoint_id)
+        self.call = endpoint.call(b"GET", probes.settings.probe_path, (), b"", self._on_call_end)
+        probes.batch.call_at(now + probes.settings.response_timeout, self._on_timeout)
+
+    def _on_call_end(self, call_end):
+        report = call_end.body or call_end.headers.get(b"x-server-load", b"")
+        self.probes.batch.enqueue(self._report, _outcome_of(call_end), report.decode("latin-1"))
+
+    def _on_timeout(self, now):
+        self.call.abandon()
+        self._report(now, Outcome.TIMEOUT)
+
+    def _report(self, now, outcome, load=""):
+        if self.is_reported:
+            return
+        self.is_reported = True
+        event = ProbeAnswered(self.endpoint_id, outcome, *report_from_text(load))
+        self.probes.dispatcher.handle(now, event)
+
+
+def _outcome_of(call_end):
+    if call_end.result is CallResult.UNSENT:
+        return Outcome.CONNECT_FAILED
+    if call_end.result is CallResult.BROKEN:
+        return Outcome.CONNECTION_RESET
+    return OUTCOMES_BY_STATUS.get(call_end.status, Outcome.FAILED)
--- /dev/null
+++ b/grebedyke/service/job_updates.py
@@ -0,0 +1,75 @@
+"""Call-backs of executors: which attempt each is about, and what it means for it."""
+
+from grebedyke.model.events import AttemptProgressed, AttemptStarted
+from grebedyke.model.outcome import Outcome
+from grebedyke.wire.load_reports import report_from_json
+from grebedyke.wire.request_headers import JobState
+
+OUTCOMES = {
+    JobState.SUCCEEDED: Outcome.SUCCEEDED,
+    JobState.FAILED: Outcome.FAILED,
+    JobState.REJECTED: Outcome.REJECTED,
+    JobState.LOST: Outcome.CONNECTION_RESET,
+}
+"""How the states that end a job end its attempt; any other state is progress."""
+
+
+class JobUpdates:
+    """Applies call-backs to attempts.
+
+    Attributes:
+        dispatcher: Is told of starts and progress.
+        requests: The `RequestTable`.
+        attempts: The `AttemptSender`.
+        pass_on: Called with a `JobUpdate` about a request that this process does not have, for the other
+            process of this node: both listen on one address.
+    """
+
+    def __init__(self, dispatcher, requests, attempts):
+        self.dispatcher = dispatcher
+        self.requests = requests
+        self.attempts = attempts
+        self.pass_on = None
+
+    def on_update(self, now, update, came_here=True):
+        """Applies a call-back to the one attempt it is about, if that has not ended.
+
+        Args:
+            now: Time in ticks.
+            update: The `JobUpdate`.
+            came_here: Whether it came to this process; else the other process has passed it on.
+        """
+        request = self.requests.pending.get(update.request_id.encode())
+        if request is None:
+            if came_here:
+                self.pass_on(update)
+            return
+        attempt = _open_attempt_at(request, update.executor)
+        if attempt is None:
+            return
+        outcome = OUTCOMES.get(update.state)
+        if update.state == JobState.STARTED:
+            self._start(now, attempt)
+        elif outcome is None:
+            attempt.has_started = True
+            self.dispatcher.handle(now, AttemptProgressed(request.id, attempt.index))
+        elif attempt.may_be_mistaken and outcome != Outcome.SUCCEEDED:
+            # Guards against a retry beside a job that runs: the call-back may be about the earlier attempt
+            # there, so this one is not known to be over. It is cancelled first.
+            self.attempts.begin_cancellation(attempt, Outcome.CONNECTION_RESET)
+        else:
+            free_slots = report_from_json(update.load).plausible_free_slots()
+            self.attempts.end(now, attempt, outcome, update.result, free_slots)
+
+    def _start(self, now, attempt):
+        if not attempt.has_started:
+            attempt.has_started = True
+            event = AttemptStarted(attempt.request.id, attempt.index, attempt.call.needed_connect)
+            self.dispatcher.handle(now, event)
+
+
+def _open_attempt_at(request, executor):
+    for attempt in request.attempts:
+        if not attempt.is_ended and attempt.endpoint.name == executor:
+            return attempt
+    return None
--- a/grebedyke/service/log.py
+++ b/grebedyke/service/log.py
@@ -1,69 +1,67 @@
-"""The node's log and the histograms that it gives at intervals."""
+"""The node's log: lines as text or JSON, to a descriptor that is never waited for."""
 
 import os
 import select
 import traceback
 
 import orjson
-from hdrh.histogram import HdrHistogram
 from loguru import logger
 
-OUTCOMES = ("succeeded", "throttled", "errored", "left")
-# What a node did at the others, and how forwards ended that did not go well.
-DEEDS = ("forwards", "again", "probes", "connects", "lists")
-ENDS = {
-    "full": "full",
-    "reset": "reset",
-    "timeout": "timeout",
-    "no connection": "unconnected",
-    "fault": "fault",
-    "cancelled": "cancelled",
-    "moot": "moot",
-}
-
-
-FORMATS = "text", "json"
+FORMATS = ("text", "json")
+STANDARD_ERROR = 2
 # What a pipe takes at once when it says that it takes anything.
-PIPE = 4096
+PIPE_BYTES = 4_096
+TEXT_FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {extra[node]} {message}"
 
 
-class Sink:
-    """Writes whole lines to a descriptor, but never waits for whoever reads it: the loop would wait as well.
+class NonBlockingSink:
+    """Writes whole lines to a descriptor, and drops what does not fit.
 
-    What does not fit is dropped, counted, and told by a line of its own (`lost(count)`) once there is room.
+    Guards against a reader that stops: a write that waited for it would hold up the event loop, and with it
+    all requests. Dropped lines are counted, and reported by a line of its own once there is room.
+
+    Attributes:
+        descriptor: Where the lines go.
+        describe_loss: Returns the line that reports so many dropped lines.
+        poll: Tells whether the descriptor takes anything.
+        dropped: Lines dropped since the last report.
+        is_cut: Whether the last line was written in part; its rest is not sent.
     """
 
-    def __init__(self, fd, lost):
-        self.fd, self.lost, self.dropped, self.cut = fd, lost, 0, False
+    def __init__(self, descriptor, describe_loss):
+        self.descriptor = descriptor
+        self.describe_loss = describe_loss
+        self.dropped = 0
+        self.is_cut = False
         self.poll = select.poll()
-        self.poll.register(fd, select.POLLOUT)
+        self.poll.register(descriptor, select.POLLOUT)
 
     def write(self, text):
-        if self.dropped and self.put(self.lost(self.dropped).encode()):
+        """Writes one line or counts it as dropped."""
+        if self.dropped and self._write_line(self.describe_loss(self.dropped).encode()):
             self.dropped = 0
-        if self.dropped or not self.put(text.encode(errors="replace")):
+        if self.dropped or not self._write_line(text.encode(errors="replace")):
             self.dropped += 1
 
-    def put(self, data):
-        """False: none of it, or not all, as a reader stopped in its middle; the rest of that line is not
-        sent.
-        """
-        data = b"\n" + data if self.cut else data
+    def _write_line(self, data):
+        """Returns whether all was written; a line that is cut in its middle is ended before the next."""
+        if self.is_cut:
+            data = b"\n" + data
         try:
-            for i in range(0, len(data), PIPE):
+            for start in range(0, len(data), PIPE_BYTES):
                 ready = self.poll.poll(0)
                 if not ready or not ready[0][1] & select.POLLOUT:
-                    self.cut = self.cut or i > 0
+                    self.is_cut = self.is_cut or start > 0
                     return False
-                os.write(self.fd, data[i : i + PIPE])
+                os.write(self.descriptor, data[start : start + PIPE_BYTES])
         except OSError:
-            return False  # closed: there is nobody to be told
-        self.cut = False
+            return False  # the descriptor is closed, so nobody reads it
+        self.is_cut = False
         return True
 
 
 def json_line(record):
-    """One object: time, level, node, event, and the event's own fields.
+    """Returns a record as one JSON object: time, level, node, event, and the event's own fields.
 
     Without an event's name the text itself is there, as `text`; a traceback as `trace`.
     """
@@ -80,68 +78,34 @@
     return orjson.dumps(row, default=str, option=orjson.OPT_NON_STR_KEYS).decode() + "\n"
 
 
-def open_log(name, level="INFO", form="text", fd=2):
+def open_log(name, level="INFO", form="text", descriptor=STANDARD_ERROR):
+    """Sets the program's log up.
+
+    Args:
+        name: Name of the node, part of each line.
+        level: The lowest level that is logged.
+        form: One of `FORMATS`.
+        descriptor: Where lines go.
+    """
     logger.remove()
     logger.configure(extra={"node": name})
     if form == "json":
-        sink = Sink(
-            fd,
-            lambda n: orjson.dumps(
-                {"level": "WARNING", "node": name, "event": "log-dropped", "lines": n}
-            ).decode()
-            + "\n",
-        )
-        # No braces of the line itself are to be taken for fields.
-        logger.add(lambda message: sink.write(json_line(message.record)), level=level, format="{message}")
-        return
-    sink = Sink(fd, lambda n: f"{n} log lines dropped: nobody read them\n")
+        _open_json_log(name, level, descriptor)
+    else:
+        _open_text_log(level, descriptor)
+
+
+def _open_json_log(name, level, descriptor):
+    def describe_loss(count):
+        row = {"level": "WARNING", "node": name, "event": "log-dropped", "lines": count}
+        return orjson.dumps(row).decode() + "\n"
+
+    sink = NonBlockingSink(descriptor, describe_loss)
+    # No braces of the line itself are to be taken for fields.
+    logger.add(lambda message: sink.write(json_line(message.record)), level=level, format="{message}")
+
+
+def _open_text_log(level, descriptor):
+    sink = NonBlockingSink(descriptor, lambda count: f"{count} log lines dropped: nobody read them\n")
     # No diagnose: values of variables in tracebacks are users' data.
-    logger.add(
-        sink.write,
-        level=level,
-        diagnose=False,
-        format="{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {extra[node]} {message}",
-    )
-
-
-class Gauges:
-    """Counts and histograms (tenths of a millisecond) since the last log line of theirs."""
-
-    def __init__(self):
-        self.seen = {name: HdrHistogram(1, 600_000, 2) for name in ("wait", "turn", "late", "stall")}
-        names = "taken", *OUTCOMES, *DEEDS, *ENDS.values(), "crowded", "odd", "faults"
-        self.counts = dict.fromkeys(names, 0)
-        self.levels = dict  # what is so at the moment of the line, by name
-
-    def count(self, name):
-        self.counts[name] += 1
-
-    def wait(self, tenths):
-        self.seen["wait"].record_value(max(tenths, 1))
-
-    def turn(self, tenths):
-        self.seen["turn"].record_value(max(tenths, 1))
-
-    def late(self, tenths):
-        self.seen["late"].record_value(max(tenths, 1))
-
-    def stall(self, tenths):
-        self.seen["stall"].record_value(max(tenths, 1))
-
-    def few(self, name):
-        """Counts one; only the first few in an interval are worth a line, else a bad peer fills the log."""
-        self.counts[name] += 1
-        return self.counts[name] <= 5
-
-    def report(self):
-        fields = {name: n for name, n in self.counts.items() if n or name == "taken"}
-        fields |= self.levels()
-        words = [f"{name}={n}" for name, n in fields.items()]
-        for name, h in self.seen.items():
-            if h.get_total_count():
-                p50, p99, top = (h.get_value_at_percentile(p) / 10 for p in (50, 99, 100))
-                words.append(f"{name}_ms={p50:.1f}/{p99:.1f}/{top:.1f}")
-                fields |= {f"{name}_p50_ms": p50, f"{name}_p99_ms": p99, f"{name}_max_ms": top}
-                h.reset()
-        self.counts = dict.fromkeys(self.counts, 0)
-        logger.bind(event="counts", **fields).info("counts {}", " ".join(words))
+    logger.add(sink.write, level=level, diagnose=False, format=TEXT_FORMAT)
--- /dev/null
+++ b/grebedyke/service/peer_messenger.py
@@ -0,0 +1,27 @@
+"""Gossip between the dispatchers of nodes: peer messages out of and into datagrams."""
+
+from grebedyke.model.events import PeerMessageReceived
+from grebedyke.wire import peer_codec
+
+
+class PeerMessenger:
+    """Sends and receives peer messages.
+
+    Attributes:
+        dispatcher: Is told of messages of peers.
+        socket: The `PeerSocket`; set once it exists.
+    """
+
+    def __init__(self, dispatcher):
+        self.dispatcher = dispatcher
+        self.socket = None
+
+    def send(self, now, node, message):
+        """Sends one of `grebedyke.model.peer_messages` to a node."""
+        self.socket.send(node, peer_codec.encode(message))
+
+    def on_datagram(self, now, node, data):
+        """Takes a datagram of a node; one that cannot be read is left out."""
+        message = peer_codec.decode(data)
+        if message:
+            self.dispatcher.handle(now, PeerMessageReceived(node, message))
--- /dev/null
+++ b/grebedyke/service/process_channel.py
@@ -0,0 +1,111 @@
+"""Messages with descriptors between two processes of one node, over a Unix socket."""
+
+import os
+import socket
+
+import orjson
+
+# A message travels in packets; the mark before each tells whether one more follows.
+PACKET_BYTES = 1 << 15
+MORE_FOLLOWS = b"+"
+LAST_PACKET = b"."
+# Packets read in one pass of the event loop.
+PACKETS_PER_PASS = 64
+MAX_DESCRIPTORS = 4
+
+
+class ProcessChannel:
+    """Whole JSON messages, in order, each with the descriptors that it is about.
+
+    Attributes:
+        loop: The event loop.
+        socket: The Unix socket, None once the channel has ended.
+        on_message: Called with the channel, a message and the list of its descriptors.
+        on_end: Called with the channel when it has ended.
+        queue: Packets to be sent, each with its descriptors.
+        received: Packets of a message that has not come whole.
+        is_blocked: Whether the kernel takes no packet for now.
+    """
+
+    def __init__(self, loop, socket, on_message, on_end):
+        self.loop = loop
+        self.socket = socket
+        self.on_message = on_message
+        self.on_end = on_end
+        self.queue = []
+        self.received = b""
+        self.is_blocked = False
+        socket.setblocking(False)
+        loop.add_reader(socket, self._read)
+
+    def send(self, message, *descriptors):
+        """Sends a message; the descriptors may be closed here as soon as this returns."""
+        if self.socket is None:
+            return
+        data = orjson.dumps(message)
+        pieces = [data[start : start + PACKET_BYTES] for start in range(0, len(data), PACKET_BYTES)]
+        self.queue += [(MORE_FOLLOWS + piece, ()) for piece in pieces[:-1]]
+        # Duplicates: what they stand for may be closed here before the packet leaves.
+        duplicates = [os.dup(descriptor) for descriptor in descriptors]
+        self.queue.append((LAST_PACKET + pieces[-1], duplicates))
+        self._write()
+
+    def _write(self):
+        while self.queue:
+            data, descriptors = self.queue[0]
+            try:
+                socket.send_fds(self.socket, [data], descriptors)
+            except BlockingIOError:
+                self._wait_until_writable()
+                return
+            except OSError:
+                self.close()
+                return
+            del self.queue[0]
+            _close_all(descriptors)
+        if self.is_blocked:
+            self.is_blocked = False
+            self.loop.remove_writer(self.socket)
+
+    def _wait_until_writable(self):
+        if not self.is_blocked:
+            self.is_blocked = True
+            self.loop.add_writer(self.socket, self._write)
+
+    def _read(self):
+        for _ in range(PACKETS_PER_PASS):
+            if self.socket is None:
+                return
+            try:
+                data, descriptors, _, _ = socket.recv_fds(
+                    self.socket, PACKET_BYTES + 1, MAX_DESCRIPTORS, socket.MSG_CMSG_CLOEXEC
+                )
+            except BlockingIOError:
+                return
+            except OSError:
+                data = b""
+            if not data:
+                self.close()
+                return
+            self.received += data[1:]
+            if data[:1] == LAST_PACKET:
+                message = orjson.loads(self.received)
+                self.received = b""
+                self.on_message(self, message, descriptors)
+
+    def close(self):
+        """Ends the channel; what is not sent is dropped."""
+        if self.socket is None:
+            return
+        self.loop.remove_reader(self.socket)
+        self.loop.remove_writer(self.socket)
+        self.socket.close()
+        self.socket = None
+        for _, descriptors in self.queue:
+            _close_all(descriptors)
+        self.on_end(self)
+
+
+def _close_all(descriptors):
+    for descriptor in descriptors:
+        os.close(descriptor)
--- /dev/null
+++ b/grebedyke/service/process_messages.py
@@ -0,0 +1,96 @@
+"""What two processes of one node tell each other, from and to the fields of messages."""
+
+from grebedyke.service.hot_restart import MessageKind
+from grebedyke.wire.request_headers import JobUpdate
+
+
+class ProcessMessages:
+    """Sends and receives the messages of a hot restart.
+
+    Attributes:
+        loop: The event loop.
+        batch: The node's `BatchLoop`.
+        host: The `DispatcherHost`.
+        listener: The `ClientListener`.
+        discovery: The `DiscoveryClient`.
+        reload: Called when the signal to reload came to the other process; set once the node exists.
+        hot_restart: The `HotRestart` that carries the messages; set once it exists.
+    """
+
+    def __init__(self, loop, batch, host, listener, discovery):
+        self.loop = loop
+        self.batch = batch
+        self.host = host
+        self.listener = listener
+        self.discovery = discovery
+        self.reload = None
+        self.hot_restart = None
+
+    def handlers(self):
+        """Returns the calls for messages of the other process, by kind."""
+        return {
+            MessageKind.STATE: self._import_state,
+            MessageKind.JOB_UPDATE: self._on_job_update,
+            MessageKind.CONNECTION: self._on_connection,
+            MessageKind.BAN: self._on_ban,
+            MessageKind.RELOAD: lambda: self.reload(),
+        }
+
+    # State.
+
+    def export_state(self):
+        """Returns the fields of the state message, and the listening socket's descriptor."""
+        listing = {"address": self.discovery.address, "index": self.discovery.version}
+        state = {"books": self.host.endpoints.export_state(), "listing": listing}
+        return state, self.listener.descriptor()
+
+    def _import_state(self, message):
+        self.batch.enqueue(self.host.endpoints.import_state, message["books"])
+        listing = message["listing"]
+        # Versions of another discovery would mean other lists.
+        is_same_discovery = tuple(listing["address"]) == self.discovery.address
+        self.discovery.version = listing["index"] if is_same_discovery else None
+
+    # Sending.
+
+    def send_job_update(self, update):
+        """Passes a call-back on about a request that this process does not have."""
+        self.hot_restart.send(
+            MessageKind.JOB_UPDATE,
+            id=update.request_id,
+            name=update.executor,
+            state=update.state,
+            result=update.result.decode(),
+            load=update.load,
+        )
+
+    def send_ban(self, endpoint_id, is_banned):
+        """Passes an operator's ban or its end on."""
+        self.hot_restart.send(MessageKind.BAN, name=endpoint_id, out=is_banned)
+
+    def send_reload(self):
+        """Passes the signal to reload on."""
+        self.hot_restart.send(MessageKind.RELOAD)
+
+    def hand_over(self, connection):
+        """Gives a client's connection to the successor, if that still serves."""
+        if self.hot_restart.successor_is_ready:
+            self.hot_restart.hand_over(
+                connection.transport.get_extra_info("socket"),
+                good=connection.proven,
+                caller=connection.is_executor,
+            )
+            connection.abort()  # this process's descriptor only; nothing is left to be written
+
+    # Receiving; the parameters are the fields of the messages.
+
+    def _on_job_update(self, id, name, state, result, load):
+        update = JobUpdate(id, name, state, result.encode(), load)
+        self.batch.enqueue(self.host.job_updates.on_update, update, False)
+
+    def _on_connection(self, fd, good, caller):
+        adoption = self.listener.adopt(descriptor=fd, proven=good, is_executor=caller)
+        self.loop.create_task(adoption)
+
+    def _on_ban(self, name, out):
+        self.batch.enqueue(self.host.endpoints.set_banned, name, out)
--- a/grebedyke/service/start.py
+++ b/grebedyke/service/start.py
@@ -2,27 +2,56 @@
 
 import asyncio
 import signal
+from enum import IntEnum
 from functools import partial
 
+from loguru import logger
+
 from grebedyke.service import assembly, configuration, log, node
 
+# At a reload the file goes before the environment in what may change.
+FIXED_AT_START = ("name", "listen", "console", "counts")
+
+
+class ExitCode(IntEnum):
+    """Exit codes of the program.
+
+    Attributes:
+        OK: It has served and ended in order, or the configuration is good.
+        CANNOT_SERVE: An address or a folder cannot be used.
+        BAD_CONFIGURATION: The configuration has a fault.
+    """
+
+    OK = 0
+    CANNOT_SERVE = 1
+    BAD_CONFIGURATION = 2
+
 
 def node_of(environ, log_level, only_check, log_format="text", assemble=assembly.assemble):
-    """Gives the exit code: 0, 1 when it cannot serve, 2 at a fault in what it is told."""
+    """Runs one node until its end.
+
+    Args:
+        environ: The environment.
+        log_level: The lowest level that is logged.
+        only_check: Whether only the configuration is read.
+        log_format: One of `log.FORMATS`.
+        assemble: Puts the node together; another one than this program's, for trials.
+
+    Returns:
+        An `ExitCode`.
+    """
     log.open_log(environ.get("BALANCER_NAME", "-"), log_level, log_format)
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the node serves; it would end the program
     try:
-        said = configuration.read_node(environ)
-        log.open_log(said["name"], log_level, log_format)
-        if only_check:
-            return 0
-        # At a reload the file's word holds for what may change: the environment's is the one of the start.
-        read_again = partial(configuration.read_node, environ, ("name", "listen", "console", "counts"))
-        asyncio.run(node.run(assemble, said, read_again))
+        node_configuration = configuration.read_node(environ)
+        log.open_log(node_configuration["name"], log_level, log_format)
+        if not only_check:
+            read_again = partial(configuration.read_node, environ, FIXED_AT_START)
+            asyncio.run(node.run(assemble, node_configuration, read_again))
     except configuration.ConfigurationError as problem:
-        log.logger.error("configuration: {why}", event="configuration", why=str(problem))
-        return 2
+        logger.error("configuration: {why}", event="configuration", why=str(problem))
+        return ExitCode.BAD_CONFIGURATION
     except OSError as problem:
-        log.logger.error("cannot serve: {why}", event="cannot-serve", why=str(problem))
-        return 1
-    return 0
+        logger.error("cannot serve: {why}", event="cannot-serve", why=str(problem))
+        return ExitCode.CANNOT_SERVE
+    return ExitCode.OK
--- a/grebedyke/testbed/counted_node.py
+++ b/grebedyke/testbed/counted_node.py
@@ -23,17 +23,17 @@
     """The one node of this process; it ends with it."""
 
     def __init__(self, node, told, seen, passes):
-        loop, [me, wants] = node.loop, told["nodes"][0]
-        self.me, self.turn, self.alive, self.wanted = me, node.turn, True, False
+        loop, [me, wants] = node.parts.loop, told["nodes"][0]
+        self.me, self.turn, self.alive, self.wanted = me, node.parts.batch, True, False
         self.chance = SeededRandom(f"real {told['seed']} {me}")
         self.tap = Tap(me, seen, told["seed"])
         self.tap.loss, self.tap.delay = told["loss"], told["delay"]
-        self.tap.attach(node.also, node.peers, loop)
-        node.turn.last_look = node.also.expire
+        self.tap.attach(node.component_host, node.parts.peers, loop)
+        node.parts.batch.before_write = node.component_host.expire
         self.demand = Demand(
             loop,
             self.tap,
-            node.turn,
+            node.parts.batch,
             told["seed"],
             wants,
             operation(told["operation"]),
@@ -56,8 +56,8 @@
     def joined(node):
         seen, passes = Seen(), Counter()
         host = Real(node, told, seen, passes)
-        station = Station(node.loop, {host.me: host}, seen, passes, told["folder"])
-        tasks.append(asyncio.ensure_future(station.serve(), loop=node.loop))
+        station = Station(node.parts.loop, {host.me: host}, seen, passes, told["folder"])
+        tasks.append(asyncio.ensure_future(station.serve(), loop=node.parts.loop))
 
     with broken_builds.build(told["build"]) if told.get("build") else nullcontext():
         return launcher.main(joined)
--- a/grebedyke/testbed/hollow_node.py
+++ b/grebedyke/testbed/hollow_node.py
@@ -18,11 +18,11 @@
 from grebedyke.consensus import framing
 from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.service import configuration
+from grebedyke.service.batch_loop import BatchLoop
 from grebedyke.service.component_host import ComponentHost, NodeAccess
 from grebedyke.service.fleet_assembly import build_components, new_process_id
-from grebedyke.service.log import Gauges
+from grebedyke.service.metrics import Metrics
 from grebedyke.service.record_files import RecordFiles
-from grebedyke.service.turn import Turn
 from grebedyke.testbed import broken_builds
 from grebedyke.testbed.instrumentation import Demand, Seen, Tap, operation
 from grebedyke.testbed.process_agent import BEAT, Station
@@ -41,8 +41,8 @@
         self.tap.loss, self.tap.delay = place.loss, place.delay
         self.chance = SeededRandom(f"hollow {place.seed} {me}")
         self.alive, self.wanted, self.lives, self.disk = False, False, 0, None
-        self.turn = Turn(place.loop, place.gauges)
-        self.turn.decide = lambda now: None
+        self.turn = BatchLoop(place.loop, place.gauges)
+        self.turn.next_action = lambda now: None
         self.peers, self.parts = None, None
         self.demand = Demand(
             place.loop,
@@ -63,9 +63,9 @@
         if self.disk:
             # What the process before had begun to write is with the disk: a kill does not undo it.
             self.disk.shutdown(wait=True)
-        place, turn = self.place, Turn(self.place.loop, self.place.gauges)
+        place, turn = self.place, BatchLoop(self.place.loop, self.place.gauges)
         # One loop: a stall of it is one of all its nodes, and one beat tells them all.
-        turn.marks = place.marks
+        turn.pass_times = place.marks
         self.lives, self.turn, self.demand.turn = self.lives + 1, turn, turn
         process = new_process_id()
         told = {**self.said, "seed": f"{self.said['seed']} {self.lives}"}
@@ -88,10 +88,10 @@
         self.disk = parts.disk_thread
         self.tap.attach(parts, peers, place.loop)
         peers.on_message = parts.receive_datagram
-        turn.decide, turn.last_look = parts.next_action, parts.expire
-        turn.carry = lambda now, decision: parts.perform(now, *decision)
+        turn.next_action, turn.before_write = parts.next_action, parts.expire
+        turn.carry_out = lambda now, decision: parts.perform(now, *decision)
         peers.set_peers(self.said["peers"], self.me)
-        turn.put(parts.endpoints_changed, True, place.rows)
+        turn.enqueue(parts.endpoints_changed, True, place.rows)
         parts.start(False)
         self.alive = True
         if self.wanted:
@@ -104,7 +104,7 @@
             self.demand.stop()
             self.peers.set_peers([], 0)
             self.parts.is_started = False
-            self.turn.limits.clear()
+            self.turn.timers.clear()
             self.parts.close()
 
 
@@ -113,13 +113,13 @@
 
     def __init__(self, loop, told):
         self.loop, self.seed, self.rows = loop, told["seed"], [tuple(row) for row in told["rows"]]
-        self.seen, self.passes, self.gauges = Seen(), Counter(), Gauges()
-        self.marks = deque([Turn.clock()] * 3, 3)
+        self.seen, self.passes, self.gauges = Seen(), Counter(), Metrics()
+        self.marks = deque([BatchLoop.clock()] * 3, 3)
         self.loss, self.delay = told["loss"], told["delay"]
         self.operation, self.every, self.hold = operation(told["operation"]), told["every"], told["hold"]
 
     def beat(self):
-        self.marks.append(Turn.clock())
+        self.marks.append(BatchLoop.clock())
         self.loop.call_later(BEAT, self.beat)
 
 
--- a/grebedyke/testbed/instrumentation.py
+++ b/grebedyke/testbed/instrumentation.py
@@ -184,7 +184,7 @@
                 self.passes[tenant, (now + wait) // SPAN, -1] += 1
                 self.loop.call_later(wait / TICKS_PER_SECOND, limiter.release, inv)
         # As after any input: who has none and is asked for some says so at once.
-        self.turn.hurry()
+        self.turn.schedule()
 
 
 class Asked:
--- a/grebedyke/wire/client_connection.py
+++ b/grebedyke/wire/client_connection.py
@@ -120,10 +120,10 @@
             self.half_closes = True
             self.ring.skip(self.ring.used)
             self.respond(problem.status, str(problem).encode(), close=True)
-            self.listener.batch.after(LINGER_TIME, lambda now: self.close())
+            self.listener.batch.call_later(LINGER_TIME, lambda now: self.close())
         except Exception:
             # Keeps all other connections alive: a message that the node cannot handle ends only its own.
-            if self.listener.batch.gauges.few("faults"):
+            if self.listener.batch.metrics.count_and_may_log("faults"):
                 logger.exception("client connection: a message could not be read", event="client-fault")
             self.respond(500, close=True)
 
@@ -149,7 +149,7 @@
         ):
             self.bytes_discarded = 0
             self.transport.pause_reading()
-            self.listener.batch.after(DISCARD_PAUSE, lambda now: self.transport.resume_reading())
+            self.listener.batch.call_later(DISCARD_PAUSE, lambda now: self.transport.resume_reading())
 
     def _discard_after_last_response(self):
         self.bytes_discarded += self.ring.used
@@ -169,7 +169,7 @@
         self.open_request = None
         if self.half_closes:
             self.bytes_discarded = 0
-            self.listener.batch.after(LINGER_TIME, lambda now: self.close())
+            self.listener.batch.call_later(LINGER_TIME, lambda now: self.close())
         if not self.closes_when_flushed and self.parser.has_partial_message():
             self.process_input()
         self.resume_if_free()
--- a/grebedyke/wire/client_listener.py
+++ b/grebedyke/wire/client_listener.py
@@ -123,7 +123,7 @@
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as problem:
-                if self.batch.gauges.few("faults"):
+                if self.batch.metrics.count_and_may_log("faults"):
                     logger.error("cannot accept: {why}", event="loop-fault", why=problem.strerror)
                 self._pause_accepting()
                 return
@@ -147,7 +147,7 @@
 
     def _pause_accepting(self):
         self._loop.remove_reader(self.server)
-        self.batch.after(UNREAD_TIME, self._resume_accepting)
+        self.batch.call_later(UNREAD_TIME, self._resume_accepting)
 
     def _resume_accepting(self, now):
         # In a batch, so that what clients had sent before it is read.
@@ -174,7 +174,7 @@
     def client_left(self, connection):
         """Called by a connection whose client has ended its side."""
         if connection.open_request is not None:
-            self.batch.put(self.on_client_left, connection.open_request, connection)
+            self.batch.enqueue(self.on_client_left, connection.open_request, connection)
             connection.open_request = None
 
     def close_overdue(self, now):
@@ -184,7 +184,7 @@
         """
         for connection in self.connections.overdue(now, self.settings.message_timeout):
             connection.respond(408, close=True)
-        self.batch.at(now + TIMEOUT_CHECK_INTERVAL, self.close_overdue)
+        self.batch.call_at(now + TIMEOUT_CHECK_INTERVAL, self.close_overdue)
 
     def handle(self, connection, request):
         """Routes one message of a connection.
@@ -222,16 +222,16 @@
         try:
             update = parse_job_update(body)
         except (ValueError, KeyError, TypeError, AttributeError) as problem:
-            if self.batch.gauges.few("odd"):
+            if self.batch.metrics.count_and_may_log("odd"):
                 logger.warning("call-back not understood: {why}", event="call-back-odd", why=repr(problem))
             return
-        self.batch.put(self.on_job_update, update)
+        self.batch.enqueue(self.on_job_update, update)
 
     def _handle_request(self, connection, operation, request):
         incoming = parse_incoming_request(request, operation, self.timeouts)
         self.connections.request_received(connection)
         if connection.over_limit and self.connections.is_busy():
-            self.batch.gauges.count("crowded")
+            self.batch.metrics.count("crowded")
             # Throttled, since the request never went out; a mere close would lose it.
             connection.respond(503)
             return
--- a/grebedyke/wire/discovery_client.py
+++ b/grebedyke/wire/discovery_client.py
@@ -134,7 +134,9 @@
         self.poll_number += 1
         self.poll_started = self.batch.clock()
         # An outage shows as silence: the poll ends some time after its wait is over.
-        self.batch.after(self._wait() + self.settings.answer_grace, self.poll_timed_out, self.poll_number)
+        self.batch.call_later(
+            self._wait() + self.settings.answer_grace, self.poll_timed_out, self.poll_number
+        )
         if self.connection:
             self.send_poll()
         else:
@@ -168,7 +170,7 @@
         target = LIST_TARGET
         if self.version is not None:
             target += b"?after=%d&wait_ms=%d" % (self.version, self._wait() // TICKS_PER_MILLISECOND)
-        self.batch.gauges.count("lists")
+        self.batch.metrics.count("lists")
         host, port = self.address
         self.connection.send(request_head(b"GET", target, b"%s:%d" % (host.encode(), port)))
 
@@ -244,7 +246,7 @@
             before=self.version,
         )
         self.version = None
-        self.batch.after(POLL_PAUSE, self.poll)
+        self.batch.call_later(POLL_PAUSE, self.poll)
 
     def _accept_list(self, version, is_complete, rows):
         self.version = version
@@ -252,7 +254,7 @@
             logger.info("discovery answers again, version {version}", event="list-again", version=version)
             self.failing = False
         if is_complete or rows:
-            self.batch.put(self.on_list, is_complete, rows)
+            self.batch.enqueue(self.on_list, is_complete, rows)
         self.first_result.set()
 
     def _poll_again(self, had_news):
@@ -260,7 +262,7 @@
             self.poll()
         else:
             # A discovery that does not wait, though it has no news, would keep the node busy with polls.
-            self.batch.after(POLL_PAUSE, self.poll)
+            self.batch.call_later(POLL_PAUSE, self.poll)
 
     # Failures.
 
@@ -280,7 +282,7 @@
             connection.abort()
         else:
             self.late_connection = connection
-            self.batch.after(LATE_ANSWER_TIME, self._drop_late_connection, connection)
+            self.batch.call_later(LATE_ANSWER_TIME, self._drop_late_connection, connection)
         self.poll_failed()
 
     def _drop_late_connection(self, now, connection):
@@ -309,9 +311,9 @@
                 version=self.version,
             )
             self.failing = True
-        self.batch.put(self.on_failure)
+        self.batch.enqueue(self.on_failure)
         delay = self.settings.retry_delay << min(self.failures, MAX_DOUBLINGS)
-        self.batch.after(min(delay, self.settings.max_retry_delay), self.poll)
+        self.batch.call_later(min(delay, self.settings.max_retry_delay), self.poll)
         self.failures += 1
 
     def close(self):
--- a/grebedyke/wire/executor_connection.py
+++ b/grebedyke/wire/executor_connection.py
@@ -171,7 +171,7 @@
             if self.call is None and self.parser.has_partial_message():
                 self.abort()  # part of a line that nobody asked for: the next response would begin with it
         except HttpProtocolError as problem:
-            if self.endpoint.pool.batch.gauges.few("odd"):
+            if self.endpoint.pool.batch.metrics.count_and_may_log("odd"):
                 logger.warning(
                     "executor {executor}: answer not understood: {why}",
                     event="answer-odd",
@@ -211,7 +211,7 @@
         self.expects_duplicate = False
         self.suspect_response = response
         pool = self.endpoint.pool
-        pool.batch.after(pool.duplicate_window, self._accept_suspect_response, call)
+        pool.batch.call_later(pool.duplicate_window, self._accept_suspect_response, call)
 
     def _accept_suspect_response(self, now, call):
         if self.call is call and self.suspect_response and not self.transport.is_closing():
--- a/grebedyke/wire/executor_pool.py
+++ b/grebedyke/wire/executor_pool.py
@@ -114,7 +114,7 @@
         elif self.address and self.pool.ensure_capacity():
             self._begin_connect(call)
         else:
-            self.pool.batch.put(lambda now: call.end(CallResult.UNSENT))
+            self.pool.batch.enqueue(lambda now: call.end(CallResult.UNSENT))
         return call
 
     def _take_idle_connection(self, now):
@@ -133,14 +133,14 @@
 
     def _begin_connect(self, call):
         pool = self.pool
-        pool.batch.gauges.count("connects")
+        pool.batch.metrics.count("connects")
         # Counted from here on: none of a batch's calls has begun to connect when the next one asks for room.
         pool.connecting += 1
         call.needed_connect = True
         call.connect_task = pool.loop.create_task(self._connect(call))
         call.connect_task.add_done_callback(pool.connect_finished)
         # Connecting has a limit of its own, far under the attempt's: a vanished machine never comes up.
-        pool.batch.after(pool.settings.connect_timeout, self._connect_timed_out, call)
+        pool.batch.call_later(pool.settings.connect_timeout, self._connect_timed_out, call)
 
     async def _connect(self, call):
         address, _ = call.incarnation
@@ -149,7 +149,7 @@
             _, connection = await self.pool.loop.create_connection(lambda: ExecutorConnection(self), *address)
         except Exception as problem:
             # Keeps the call from never ending: a host name that no resolver takes is no OSError.
-            if not isinstance(problem, OSError) and self.pool.batch.gauges.few("odd"):
+            if not isinstance(problem, OSError) and self.pool.batch.metrics.count_and_may_log("odd"):
                 logger.warning(
                     "executor {executor}: no connection: {why}",
                     event="connect-odd",
--- a/grebedyke/wire/peer_socket.py
+++ b/grebedyke/wire/peer_socket.py
@@ -87,7 +87,7 @@
         """
         sender = self._numbers.get(address)
         if sender is not None and len(data) <= self.max_datagram_bytes:
-            self.batch.put(self.on_message, sender, data)
+            self.batch.enqueue(self.on_message, sender, data)
 
     def error_received(self, problem):
         """Called by asyncio when a peer's machine says that nobody listens there: silence says the same."""
--- a/tests/departure_scene.py
+++ b/tests/departure_scene.py
@@ -141,8 +141,8 @@
             flush(connection)
 
         ExecutorConnection.flush = record_and_flush
-        self.dispatcher = self.harness.desk.dispatcher
-        self.open_requests = self.harness.desk.owed
+        self.dispatcher = self.harness.host.dispatcher
+        self.open_requests = self.harness.host.requests.pending
         return self
 
     async def __aexit__(self, kind, *more):
@@ -199,12 +199,12 @@
     def hide_stall(self):
         """Marks as a busy event loop does in every pass: how long a close has lain there does not show."""
         for _ in range(3):
-            self.harness.turn.mark()
+            self.harness.batch.record_pass()
 
     async def finish_request(self, request_id, state="done"):
         """Has the executors report the state for all attempts of a request that are open."""
         if request_id in self.open_requests:
-            for attempt in [each for each in self.open_requests[request_id].flights if not each.done]:
+            for attempt in [each for each in self.open_requests[request_id].attempts if not each.is_ended]:
                 await self.harness.call_back(state, request_id.decode(), attempt.endpoint.name)
 
     async def serve_another(self, request_id=b"z1"):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -23,9 +23,10 @@
 from grebedyke.policy.retry_budget import RetryBudget
 from grebedyke.policy.slow_start import SlowStartSettings
 from grebedyke.policy.tenant_quotas import TenantQuotas
-from grebedyke.service.desk import Desk
-from grebedyke.service.log import Gauges
-from grebedyke.service.turn import Turn
+from grebedyke.service.batch_loop import BatchLoop
+from grebedyke.service.dispatcher_host import DispatcherHost
+from grebedyke.service.metrics import Metrics
+from grebedyke.service.request_settings import RequestSettings
 from grebedyke.wire import peer_codec
 from grebedyke.wire.client_connection import ClientConnection
 from grebedyke.wire.client_listener import ClientListener, ListenerSettings
@@ -278,40 +279,51 @@
 
 
 def still(loop):
-    """A turn whose clock stands at NOW: a slow machine must not change what is tested."""
-    turn = Turn(loop, Gauges())
-    turn.clock = lambda: NOW
-    turn.marks.extend([NOW] * 3)
-    return turn
+    """A batch loop whose clock stands at NOW: a slow machine must not change what is tested."""
+    batch = BatchLoop(loop, Metrics())
+    batch.clock = lambda: NOW
+    batch.pass_times.extend([NOW] * 3)
+    return batch
 
 
 def floor(most=9, lines=9, share=99):
-    """A node without sockets: its door, its desk and executors s-1, s-2 with a line each."""
+    """A node without sockets: its listener, its dispatcher's host and executors s-1, s-2 with a line each."""
     loop, told = Loop(), Told()
-    turn = still(loop)
-    pool = ExecutorPool(loop, turn, PoolSettings(1_000_000, 2_500), lines)
+    batch = still(loop)
+    pool = ExecutorPool(loop, batch, PoolSettings(1_000_000, 2_500), lines)
     pool.duplicate_window = 0  # the clock stands still: no line cools down
-    desk = Desk(told, turn, pool, turn.gauges, 5, 100, b"/alive", 5_000, 200, 50)
-    door = ClientListener(
-        turn,
+    settings = RequestSettings(
+        max_attempts=5,
+        max_open_requests=100,
+        probe_path=b"/alive",
+        response_timeout=5_000,
+        response_margin=200,
+        scheduling_interval=50,
+    )
+    host = DispatcherHost(told, batch, pool, batch.metrics, settings)
+    listener = ClientListener(
+        batch,
         ListenerSettings({"op": 40_000}, 60_000),
         ConnectionLimits(most, share),
-        on_request=desk.take,
-        on_job_update=desk.news,
-        on_client_left=desk.left,
+        on_request=host.requests.accept,
+        on_job_update=host.job_updates.on_update,
+        on_client_left=host.requests.client_left,
     )
-    turn.decide, turn.carry = told.next_action, desk.do
+    batch.next_action = told.next_action
+    batch.carry_out = host.perform
     pool.update_endpoints(
         True, [EndpointAddress(name, ("127.0.0.9", 1), HEALTHY, 0) for name in ("s-1", "s-2")]
     )
-    node = SimpleNamespace(loop=loop, told=told, turn=turn, pool=pool, desk=desk, door=door, lines=[])
+    node = SimpleNamespace(
+        loop=loop, told=told, batch=batch, pool=pool, host=host, listener=listener, lines=[]
+    )
     for endpoint in pool.endpoints.values():
         node.lines.append(join(ExecutorConnection(endpoint)))
         endpoint.rest(node.lines[-1])
-    node.client = lambda: join(ClientConnection(door))
+    node.client = lambda: join(ClientConnection(listener))
     node.hand_in = lambda: (say(node.client(), HAND_IN), loop.go())[0]
     node.forward = lambda name="s-1", allowed=9_000: (
-        desk.do(turn.clock(), Forward(b"r1", name, allowed)),
+        host.perform(batch.clock(), Forward(b"r1", name, allowed)),
         loop.go(),
     )
     node.ends = lambda: [x[:5] for x in told.heard if x[0] == "ended"]
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -268,7 +268,7 @@
         settings: Settings that differ from `SETTINGS`.
         long_poll_wait: Ticks that discovery may hold back an answer, None for the deployment's own.
         address: Host and port of the client listener.
-        node: The node; `desk`, `turn`, `pool` and `door` are its parts.
+        node: The node; `host`, `batch`, `pool` and `listener` are its parts.
         gate: The `ConnectGate`, None without `gated`.
         serving: The task in which the node serves.
     """
@@ -301,14 +301,15 @@
         self.said = self.node_configuration()
         self.address = self.said["listen"]
         self.node = assemble(loop, self.said, self.read_again or (lambda: self.said))
-        self.desk = self.node.desk
-        self.turn = self.node.turn
-        self.pool = self.node.pool
-        self.door = self.node.door
+        parts = self.node.parts
+        self.host = parts.host
+        self.batch = parts.batch
+        self.pool = parts.pool
+        self.listener = parts.listener
         if self.long_poll_wait:
             # Shorter than a deployment's; what comes after it is the same.
-            watch = self.node.watch
-            watch.settings = watch.settings._replace(long_poll_wait=self.long_poll_wait)
+            settings = parts.discovery.settings
+            parts.discovery.settings = settings._replace(long_poll_wait=self.long_poll_wait)
         self.serving = asyncio.create_task(self.node.serve())
         if self.waits:
             await until(lambda: self.node.phase == node.Phase.SERVING or self.serving.done(), "serving")
@@ -330,6 +331,10 @@
         checked_file["settings"] = configuration.terms(checked_file["settings"])
         return checked_file
 
+    def set_response_timeout(self, ticks):
+        """Shortens the time that an executor has to answer."""
+        self.host.apply_settings(self.host.requests.settings._replace(response_timeout=ticks))
+
     def endpoint(self, name="s-1"):
         """Returns the node's endpoint for an executor."""
         return self.pool.endpoints[name]
@@ -359,10 +364,10 @@
 
     def remains(self):
         """Returns what the node keeps of requests that are over, by its kind."""
-        dispatcher = self.desk.dispatcher
+        dispatcher = self.host.dispatcher
         pool = self.pool
         found = {
-            "open requests": self.desk.owed,
+            "open requests": self.host.requests.pending,
             "requests": dispatcher.requests,
             "queued": [request for request in dispatcher.queue.waiting if request.queued],
             "leases": dispatcher.lending.leases,
@@ -393,7 +398,7 @@
 
     def all_closed(self):
         """Returns whether all connections have ended, and closes those to executors."""
-        if not self.pool.connections and not self.door.connections.accepted:
+        if not self.pool.connections and not self.listener.connections.accepted:
             return True
         for connection in list(self.pool.connections):
             connection.close()
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -309,7 +309,7 @@
         self.write(rules)
         self.node.reload()
         before = self._received()
-        for endpoint in self.node.desk.dispatcher.endpoints.healthy:
+        for endpoint in self.node.parts.host.dispatcher.endpoints.healthy:
             # As if it had never rejected anything, so that only the budget limits attempts.
             endpoint.rejected_until = {}
             endpoint.ejected_until = 0
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -52,7 +52,7 @@
 from grebedyke.service import configuration
 from grebedyke.service.assembly import assemble
 from grebedyke.service.configuration.reading import NODE
-from grebedyke.service.handover import Channel
+from grebedyke.service.process_channel import ProcessChannel
 from grebedyke.testbed import simulated_cluster, simulated_limits
 from grebedyke.units import TICKS_PER_SECOND
 from grebedyke.wire import peer_codec
@@ -237,17 +237,17 @@
         said = checked(NODE, {**NODE_FILE, "folder": str(folder), "known": known})
         said["settings"] = configuration.terms(said["settings"])
         self.loop, self.node = loop, assemble(loop, said, lambda: said, clock=lambda: self.NOW)
-        self.node.turn.marks.extend([self.NOW] * 3)
-        self.node.desk.shift = self.NOW - 50_000
-        self.node.desk.listed(self.NOW, True, parse_endpoint_rows(known))
-        self.handover = self.node.handover
+        self.node.parts.batch.pass_times.extend([self.NOW] * 3)
+        self.node.parts.host.endpoints.unix_time_offset = self.NOW - 50_000
+        self.node.parts.host.endpoints.on_list(self.NOW, True, parse_endpoint_rows(known))
+        self.hot_restart = self.node.parts.hot_restart
 
     async def listen(self, inherited=None):
-        await self.node.door.listen(self.loop, "127.0.0.1", 0, inherited)
+        await self.node.parts.listener.listen(self.loop, "127.0.0.1", 0, inherited)
 
     def work(self):
         """Some invocations, forwards that fail, and a ban: all that the books tell of."""
-        dispatcher, now = self.node.desk.dispatcher, self.NOW
+        dispatcher, now = self.node.parts.host.dispatcher, self.NOW
         for i, operation in enumerate(["op", "safe", "op", "safe"]):
             id = b"r%d" % i
             request = RequestArrived(id, operation, "t", now + 90_000, 0, 1)
@@ -256,51 +256,57 @@
             end = AttemptEnded(id, 0, Outcome.CONNECT_FAILED, False, None)
             dispatcher.handle(now + i * TICKS_PER_SECOND + 5, end)
             self.decisions(now + i * TICKS_PER_SECOND + 5)
-        self.node.desk.by_hand(now, "s-2", True)
+        self.node.parts.host.endpoints.set_banned(now, "s-2", True)
 
     def decisions(self, now):
-        return [*iter(partial(self.node.desk.dispatcher.next_action, now), None)]
+        return [*iter(partial(self.node.parts.host.dispatcher.next_action, now), None)]
 
     def books(self):
-        return self.node.desk.books()
+        return self.node.parts.host.endpoints.export_state()
 
     def banned(self):
-        return sorted(self.node.desk.dispatcher.endpoints.banned)
+        return sorted(self.node.parts.host.dispatcher.endpoints.banned)
 
     def list_index(self):
-        return self.node.watch.version
+        return self.node.parts.discovery.version
 
     def clients(self):
-        return [[one.proven, one.is_executor] for one in self.node.door.connections.accepted]
+        return [[one.proven, one.is_executor] for one in self.node.parts.listener.connections.accepted]
 
     def say_all(self):
         """Each kind of word to the other process."""
-        self.node.console.by_hand(self.NOW, "s-1", True)
-        self.node.console.by_hand(self.NOW, "s-2", False)
-        self.node.desk.news(self.NOW, JobUpdate("r7", "s-1", "done", b"42\xc3\xa9", {"x0": 2, "rif": 1.5}))
-        self.node.desk.news(self.NOW, JobUpdate("r8", "s-1", "started", b""))
+        self.node.parts.admin_api.set_banned(self.NOW, "s-1", True)
+        self.node.parts.admin_api.set_banned(self.NOW, "s-2", False)
+        self.node.parts.host.job_updates.on_update(
+            self.NOW, JobUpdate("r7", "s-1", "done", b"42\xc3\xa9", {"x0": 2, "rif": 1.5})
+        )
+        self.node.parts.host.job_updates.on_update(self.NOW, JobUpdate("r8", "s-1", "started", b""))
         self.node.reload()
 
     def give_client(self, sock, good, caller):
         transport = SimpleNamespace(get_extra_info=lambda name: sock)
-        self.node.hand(
+        self.node.parts.process_messages.hand_over(
             SimpleNamespace(transport=transport, proven=good, is_executor=caller, abort=lambda: None)
         )
 
     def record_words(self):
         """What the other process says of call-backs and reloads, in place of what would follow."""
         heard = []
-        self.node.desk.news = lambda now, update, *ours: heard.append(["news", *update, *ours])
+        self.node.parts.host.job_updates.on_update = lambda now, update, *ours: heard.append(
+            ["news", *update, *ours]
+        )
         self.node.reload = lambda passed_on: heard.append(["reload", passed_on])
         return heard
 
     def close(self):
-        self.handover.close()
-        self.node.door.close()
+        self.hot_restart.close()
+        self.node.parts.listener.close()
 
 
 def line(loop, sock, heard):
-    return Channel(loop, sock, lambda channel, message, descriptors: heard.append(message), lambda _: None)
+    return ProcessChannel(
+        loop, sock, lambda channel, message, descriptors: heard.append(message), lambda _: None
+    )
 
 
 # Samples as text.
@@ -684,7 +690,7 @@
     process = Process(loop, folder, KNOWN)
     await process.listen()
     process.work()
-    process.handover.offer()
+    process.hot_restart.offer()
     with seqpacket() as sock, socket.socket() as client:
         sock.connect(str(Path(folder) / LINE_NAME))
         far = FarEnd(loop, sock)
@@ -693,7 +699,7 @@
         process.say_all()
         said["words"] = await far.read(5)
         far.write(ready)
-        await until(lambda: process.handover.ready)
+        await until(lambda: process.hot_restart.successor_is_ready)
         process.give_client(client, True, False)
         process.give_client(client, False, True)
         said["client"] = await far.read(2)
@@ -712,7 +718,7 @@
         peer.connect(listening.getsockname())
         client = listening.accept()[0]
         process = Process(loop, folder, {"index": 1, "endpoints": []})
-        inherits = loop.create_task(process.handover.inherit())
+        inherits = loop.create_task(process.hot_restart.inherit())
         server.setblocking(False)
         with (await loop.sock_accept(server))[0] as sock, client:
             far = FarEnd(loop, sock)
@@ -724,7 +730,7 @@
             await until(process.banned)
             found["index of the list"], found["banned"] = process.list_index(), process.banned()
             found["books"] = process.books()
-            process.handover.offer()
+            process.hot_restart.offer()
             said["ready"] = await far.read(1)
             heard = process.record_words()
             for packet in sent["words"][0]:
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -25,7 +25,7 @@
                 type(connection).__name__: connection.transport.get_extra_info("socket").getsockopt(
                     socket.IPPROTO_TCP, socket.TCP_NODELAY
                 )
-                for connection in (*harness.door.connections.accepted, *harness.pool.connections)
+                for connection in (*harness.listener.connections.accepted, *harness.pool.connections)
             }
             await harness.finish(client, "r3")
         executor.server.close()
@@ -51,7 +51,7 @@
                 head = head[:-2] + b"Connection: close\r\n\r\n"
             client.socket.sendall(b"GET /up HTTP/1.1\r\n\r\n" + head + b"abc")
             await until(lambda: executor.received, "the attempt")
-            connection = next(one for one in harness.door.connections.accepted if one.open_request)
+            connection = next(one for one in harness.listener.connections.accepted if one.open_request)
             if ends == "shutdown":
                 client.socket.sendall(b"x" * 9_000)
                 await until(lambda: connection.overflowed, "what stands behind")
@@ -94,8 +94,8 @@
             assert b" 200 " in await client.response()
             client.socket.setblocking(True)
             client.send_request("r2")  # with the kernel, and not read
-            harness.door.close_idle()
-            await until(lambda: not harness.door.connections.accepted, "the close")
+            harness.listener.close_idle()
+            await until(lambda: not harness.listener.connections.accepted, "the close")
             client.leave()
         executor.server.close()
         return executor.received
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -10,7 +10,7 @@
 from grebedyke.model.events import AttemptEnded, EndpointsChanged, RequestArrived
 from grebedyke.model.outcome import Outcome
 from grebedyke.service import configuration
-from grebedyke.service.assembly import paced, parts_of
+from grebedyke.service.node_settings import node_settings, with_fitting_interval
 from grebedyke.service.reload import reload
 from grebedyke.wire.client_listener import ListenerSettings
 
@@ -30,7 +30,7 @@
 def test_an_operation_is_found_by_whatever_name_the_settings_give_it(name, path, header):
     # Names were read as Latin-1: every invocation of such an operation was answered 404.
     node = floor()
-    node.door.apply_settings(ListenerSettings({name: 40_000}, 60_000))
+    node.listener.apply_settings(ListenerSettings({name: 40_000}, 60_000))
     head = HAND_IN.replace(b"/op/", b"/" + path + b"/")
     if header:
         head = head.replace(b"X-Timeout", b"X-Priority-Class: " + header + b"\r\nX-Timeout")
@@ -46,19 +46,19 @@
     node = floor()
     client = say(node.client(), HAND_IN.replace(b"/op/k", b"/op/k" + odd + b"X:y"))
     node.loop.go()
-    assert client.transport.written.startswith(b"HTTP/1.1 400") and not node.desk.owed
+    assert client.transport.written.startswith(b"HTTP/1.1 400") and not node.host.requests.pending
 
 
 def test_clients_that_go_on_with_a_longer_time_are_taken_and_answered_by_the_shorter():
     # After a reload that shortened it they were answered 400, an error, until they had heard of it.
     node = floor()
-    node.door.apply_settings(ListenerSettings({"op": 20_000}, 60_000))
+    node.listener.apply_settings(ListenerSettings({"op": 20_000}, 60_000))
     for wait, taken in ((4000, True), (4001, False), (2000, True), (1500, True)):
         node.told.heard.clear()
         client = say(node.client(), HAND_IN.replace(b"r1", b"r%d" % wait).replace(b"4000", b"%d" % wait))
         node.loop.go()
         assert [x[4] for x in node.told.heard if x[0] == "taken"] == (
-            [NOW + min(wait * 10, 20_000) - node.desk.margin] if taken else []
+            [NOW + min(wait * 10, 20_000) - node.host.requests.settings.response_margin] if taken else []
         ), wait
         assert client.transport.written.startswith(b"HTTP/1.1 400") == (not taken)
 
@@ -85,7 +85,7 @@
 )
 def test_short_client_timeouts_leave_time_for_a_forward(tick, shortest, left):
     # Steps of four ticks each before the due time ate 100 ms at ticks of 10 ms: nearly all was given up.
-    terms = paced(
+    terms = with_fitting_interval(
         configuration.terms(
             {
                 **SETTINGS,
@@ -97,7 +97,8 @@
             }
         )
     )
-    _, desk, _, _ = parts_of(terms)
-    margin, step = desk[4:6]
+    requests = node_settings(terms).requests
+    margin = requests.response_margin
+    step = requests.scheduling_interval
     assert shortest * 10 - margin - 4 * step >= left * 10 - 50, (margin, step)
     assert step <= tick * 10
--- a/tests/test_fleetlog.py
+++ b/tests/test_fleetlog.py
@@ -2,7 +2,7 @@
 
 from grebedyke.commands.main import cli
 from grebedyke.fleetlog import reading, summing
-from grebedyke.service.log import Gauges
+from grebedyke.service.metrics import Metrics
 
 
 def line(second, node, words, level="INFO"):
@@ -56,7 +56,7 @@
 
 def test_all_that_a_node_counts_has_its_column():
     # A counter that the node gains and the tool drops would pass for nothing having happened.
-    assert {*Gauges().counts} - {*summing.COLUMNS} == {"crowded", "odd", "faults"}
+    assert {*Metrics().counts} - {*summing.COLUMNS} == {"crowded", "odd", "faults"}
 
 
 def test_the_command_reads_folders_and_writes_csv(tmp_path):
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -23,7 +23,7 @@
             client = BlockingClient(harness.address).send_request()
             await until(lambda: executor.received, "the attempt")
             call = next(iter(harness.endpoint().connections)).call
-            harness.desk.probe_wait = 300  # a 202 is no longer waited for once the attempt is over
+            harness.set_response_timeout(300)  # of a 202 once the attempt is over
             assert call and not call.ended
             await harness.finish(client)
             await until(lambda: not harness.endpoint().connections, "the connection's end")
@@ -54,7 +54,7 @@
         async with NodeHarness(
             executor.row(), other, discovery=discovery, operations=[keyed_operation]
         ) as harness:
-            harness.desk.dispatcher.endpoints.by_id["s-2"].ejected_until = (
+            harness.host.dispatcher.endpoints.by_id["s-2"].ejected_until = (
                 2**62
             )  # what is queued waits for it
             client = BlockingClient(harness.address).send_request()
@@ -66,8 +66,8 @@
             executor.respond = lambda line, headers: b"HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n"
             discovery.answer(3, executor.row(since_ms=7))
             await until(lambda: len(executor.received) == 2, "the second attempt")
-            attempts = harness.desk.owed[b"r1"].flights
-            await until(lambda: attempts[1].accepted, "its 202")
+            attempts = harness.host.requests.pending[b"r1"].attempts
+            await until(lambda: attempts[1].is_accepted, "its 202")
             await harness.call_back("returned")
             await until(lambda: len(executor.received) == 3, "the third attempt")
             deleted = executor.deleted[:]
@@ -90,19 +90,22 @@
         async with NodeHarness(executor.row()) as harness:
             client = BlockingClient(harness.address).send_request()
             pool = harness.pool
-            await until(lambda: executor.received and harness.desk.owed[b"r1"].flights[0].accepted, "the 202")
+            await until(
+                lambda: executor.received and harness.host.requests.pending[b"r1"].attempts[0].is_accepted,
+                "the 202",
+            )
             executor.writers[0].close()
             await until(lambda: not pool.connections, "no connection")
-            attempt = harness.desk.owed[b"r1"].flights[0]
+            attempt = harness.host.requests.pending[b"r1"].attempts[0]
             tries = []
             ensure_capacity = pool.ensure_capacity
             pool.ensure_capacity = lambda: tries.append(1)
-            harness.desk.probe_wait = 300
-            harness.desk.do(harness.turn.clock(), Cancel(b"r1", 0))
+            harness.set_response_timeout(300)
+            harness.host.perform(harness.batch.clock(), Cancel(b"r1", 0))
             await until(lambda: len(tries) > 2, "three tries")
-            assert not attempt.done and not executor.deleted
+            assert not attempt.is_ended and not executor.deleted
             pool.ensure_capacity = ensure_capacity
-            await until(lambda: attempt.done, "that it is given up")
+            await until(lambda: attempt.is_ended, "that it is given up")
             assert executor.deleted == [b"r1"]
             await client.response()
             client.leave()
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -58,7 +58,7 @@
     """The requests wait for another node's answer to their slot requests."""
     async with DepartureScene(count, limits={"peerMessages": True}, balancers=2) as scene:
         slot_requests = {}
-        desk = scene.harness.desk
+        host = scene.harness.host
         coordinators = scene.dispatcher.endpoints.coordinators
 
         def record_slot_request(receiver, body):
@@ -66,7 +66,7 @@
             if isinstance(message, SlotRequest):
                 slot_requests[message.number] = message
 
-        desk.peers.send = record_slot_request
+        host.peer_messenger.socket.send = record_slot_request
         coordinators.node_for = lambda group, now: 1
         clients = scene.clients(count)
         scene.send_requests(clients)
@@ -75,8 +75,8 @@
         await scene.until_past_grace()
         for number, slot_request in slot_requests.items():
             grant = peer_codec.encode(SlotGrant(number, slot_request.rank))
-            scene.harness.turn.put(desk.heard, 1, grant)
-        await until(lambda: not scene.harness.turn.inbox)
+            scene.harness.batch.enqueue(host.peer_messenger.on_datagram, 1, grant)
+        await until(lambda: not scene.harness.batch.events)
         coordinators.node_for = lambda group, now: 0
         return await scene.finish()
 
@@ -92,7 +92,7 @@
             scene.send_requests(clients)
             open_requests = scene.open_requests
             await until(
-                lambda: len(open_requests) == count and all(one.flights for one in open_requests.values()),
+                lambda: len(open_requests) == count and all(one.attempts for one in open_requests.values()),
                 "the first attempts",
             )
             scene.eject_all()
@@ -145,7 +145,7 @@
         clients = scene.clients(count)
         scene.send_requests(clients)
         await until(lambda: len(held) >= count, "the connects for retries")
-        assert any(len(each.flights) > 1 for each in scene.open_requests.values())
+        assert any(len(each.attempts) > 1 for each in scene.open_requests.values())
         scene.recorder.respond = lambda request_id: ACCEPTED
         scene.leave(clients)
         await scene.until_past_grace()
@@ -178,7 +178,7 @@
             await until(lambda: len(recorder.deletes) == count, "the cancels")
             if step == "queued":
                 for endpoint in scene.endpoints():
-                    endpoint.ejected_until = scene.harness.turn.clock() + 4_000
+                    endpoint.ejected_until = scene.harness.batch.clock() + 4_000
                 recorder.may_confirm.set()
                 await until(
                     lambda: len([request for request in scene.queued() if request.tier]) == count, "tier one"
@@ -195,7 +195,7 @@
 async def over_a_limit(count):
     """The requests are over a limit: they are answered at once, since this program queues nothing there."""
     async with DepartureScene(2) as scene:
-        clock = scene.harness.turn.clock
+        clock = scene.harness.batch.clock
         limit = Limit("l", LimitKind.CONCURRENCY, 1, 0, 0, None, None, False)
         terms = LeaseTerms(node_count=1, lease=1_000_000, clock_drift=0.02, run_on=500)
         limiter = RequestLimiter([limit], terms, clock())
@@ -206,7 +206,7 @@
         scene.send_requests(first)
         await until(lambda: b"r0" in scene.recorder.received)
         scene.send_requests(clients)
-        await until(lambda: scene.harness.turn.gauges.counts["throttled"] == count, "the responses")
+        await until(lambda: scene.harness.batch.metrics.counts["throttled"] == count, "the responses")
         assert not scene.queued()
         scene.leave(clients)
         await scene.until_past_grace()
@@ -228,7 +228,7 @@
         async with DepartureScene(count) as scene:
             await scene.serve_another(b"z0")
             clients = scene.clients(count if kept else 0)
-            accepted = scene.harness.door.connections.accepted
+            accepted = scene.harness.listener.connections.accepted
             await until(lambda: len(accepted) >= len(clients), "the connections")
             clients = clients or scene.clients(count)
             scene.send_requests(clients)
@@ -268,13 +268,13 @@
     async with DepartureScene(count) as scene:
         await scene.serve_another(b"z0")
         loop = asyncio.get_running_loop()
-        listener = scene.harness.door
+        listener = scene.harness.listener
         loop.remove_reader(listener.server)
         clients = scene.clients(count)
         scene.send_requests(clients)
         scene.leave(clients)
         await scene.until_past_grace()
-        assert not scene.harness.turn.gauges.counts["taken"] - 1
+        assert not scene.harness.batch.metrics.counts["taken"] - 1
         scene.hide_stall()
         loop.add_reader(listener.server, listener.accept)
         return await scene.finish()
@@ -286,8 +286,8 @@
     async def scene_of(count):
         async with DepartureScene(count + 3) as scene:
             await scene.serve_another(b"z0")
-            desk = scene.harness.desk
-            forward = desk.carriers[Forward]
+            host = scene.harness.host
+            forward = host.performers[Forward]
             clients = scene.clients(count)
             others = []
             lengths_left = list(lengths)
@@ -303,8 +303,8 @@
                         other = BlockingClient(scene.harness.address)
                         others.append(other.send_request("y%d" % (len(others) + 1)))
 
-            desk.carriers[Forward] = forward_slowly
-            await until(lambda: len(scene.harness.door.connections.accepted) >= count)
+            host.performers[Forward] = forward_slowly
+            await until(lambda: len(scene.harness.listener.connections.accepted) >= count)
             scene.send_requests(clients)
             await until(lambda: not lengths_left, "the batches")
             for number, other in enumerate(others, 1):
@@ -322,8 +322,8 @@
     count = min(count, 2)  # a hundred that send their requests make a stall of that
     async with DepartureScene(count) as scene:
         await scene.serve_another(b"z0")
-        desk = scene.harness.desk
-        forward = desk.carriers[Forward]
+        host = scene.harness.host
+        forward = host.performers[Forward]
         clients = scene.clients(count)
         slowed = []
 
@@ -333,13 +333,13 @@
                 slowed.append(what)
                 time.sleep(0.07)
 
-        desk.carriers[Forward] = forward_slowly
-        await until(lambda: len(scene.harness.door.connections.accepted) >= count)
+        host.performers[Forward] = forward_slowly
+        await until(lambda: len(scene.harness.listener.connections.accepted) >= count)
         scene.hide_stall()
         scene.send_requests(clients)
         scene.leave(clients)
         time.sleep(0.07)
-        await until(lambda: slowed or scene.harness.turn.gauges.counts["left"] >= count)
+        await until(lambda: slowed or scene.harness.batch.metrics.counts["left"] >= count)
         return await scene.finish()
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,14 +13,15 @@
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import assemble
 from grebedyke.service.configuration.reading import NODE
-from grebedyke.service.handover import PIECE, Channel, Handover
+from grebedyke.service.hot_restart import HotRestart
+from grebedyke.service.process_channel import PACKET_BYTES, ProcessChannel
 
 
 def pair(heard):
     """Both ends of a line; each end's messages go to heard(end, message, fds)."""
     ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     return [
-        Channel(
+        ProcessChannel(
             asyncio.get_running_loop(),
             sock,
             lambda _, *what, i=i: heard(i, *what),
@@ -43,7 +44,7 @@
 
         here, there = pair(heard)
         with open(os.devnull) as file:
-            words = [{"n": 1}, {"n": "x" * (5 * PIECE)}, *({"n": n} for n in range(500))]
+            words = [{"n": 1}, {"n": "x" * (5 * PACKET_BYTES)}, *({"n": n} for n in range(500))]
             for word in words:
                 here.send(word, file.fileno())
             inode = os.fstat(file.fileno()).st_ino
@@ -56,7 +57,7 @@
         await asyncio.wait_for(done, 2)
         assert (
             got == [(1, word, [inode]) for word in words] + [(0, None, []), (1, None, [])]
-            and there.sock is None
+            and there.socket is None
         )
 
     asyncio.run(story())
@@ -67,7 +68,7 @@
         loop, taken, listening = asyncio.get_running_loop(), [], socket.socket()
 
         def process(**take):
-            return Handover(
+            return HotRestart(
                 loop,
                 str(tmp_path / ("long" * 30)),
                 "n/1",
@@ -83,21 +84,21 @@
         listener = await second.inherit()
         assert listener is not None and taken == [True, True, {"list": [1]}]
         assert await third.inherit() is None  # the first one has its heir
-        first.heir.send({"kind": "what"})  # of another build
+        first.successor.send({"kind": "what"})  # of another build
         await asyncio.sleep(0.05)
-        assert taken[3:] == [False] * 3 and not first.ready
+        assert taken[3:] == [False] * 3 and not first.successor_is_ready
         # An heir that ends before its time leaves the first one to be found by the next.
         assert await third.inherit() is not None
         third.offer()
         await asyncio.sleep(0.05)
-        assert first.ready and not first.server
-        third.tell("hand", name="s-1")
-        third.tell("hand", odd=1)
+        assert first.successor_is_ready and not first.server
+        third.send("hand", name="s-1")
+        third.send("hand", odd=1)
         await asyncio.sleep(0.05)
-        assert taken[-1] == "s-1" and first.ready
+        assert taken[-1] == "s-1" and first.successor_is_ready
         third.close()
         await asyncio.sleep(0.05)
-        assert not first.ready and first.server
+        assert not first.successor_is_ready and first.server
         listener.close(), listening.close()
         first.close()
         assert os.listdir(tmp_path / ("long" * 30)) == []
@@ -164,12 +165,14 @@
         new, _, second = process([])  # its file names no executor at all
         await serving(new)
         assert b" 200 " in await ask(second, b"GET /v1/readyz HTTP/1.1\r\n\r\n")
-        assert {e.state for e in new.desk.dispatcher.endpoints.by_id.values() if e.id == "s-0"} == {"banned"}
+        assert {e.state for e in new.parts.host.dispatcher.endpoints.by_id.values() if e.id == "s-0"} == {
+            "banned"
+        }
         # Both are one node: a call at either binds both.
         assert b" 200 " in await ask(second, post % b"s-1") and b" 404 " in await ask(second, post % b"s-9")
         await asyncio.sleep(0.05)
         for work in (old, new):
-            assert [e.id for e in work.desk.dispatcher.endpoints.healthy] == ["s-2"]
+            assert [e.id for e in work.parts.host.dispatcher.endpoints.healthy] == ["s-2"]
         assert b" 200 " in await ask(console, (post % b"s-1").replace(b"suspend", b"resume"))
         await asyncio.sleep(0.1)
         before = len(answers)
@@ -179,7 +182,7 @@
         await asyncio.sleep(0.3)
         assert (
             b" 503 " in await ask(console, b"GET /v1/readyz HTTP/1.1\r\n\r\n")
-            if old.console.callers
+            if old.parts.admin_api.connections
             else True
         )
         stop.set_result(None)
@@ -187,9 +190,9 @@
         # Who had said nothing yet is not forgotten either.
         assert b" 200 " in await ask(address, b"GET /up HTTP/1.1\r\n\r\n", silent)
         assert (
-            [e.id for e in new.desk.dispatcher.endpoints.healthy]
-            and not old.desk.owed
-            and not old.door.connections.accepted
+            [e.id for e in new.parts.host.dispatcher.endpoints.healthy]
+            and not old.parts.host.requests.pending
+            and not old.parts.listener.connections.accepted
         )
         new.stop()
         for worker in workers:
@@ -217,7 +220,7 @@
             return configuration.read_node({"BALANCER_CONFIG": str(file)})
 
         def taken():
-            return [sorted(work.door.timeouts.current) for work in works]
+            return [sorted(work.parts.listener.timeouts.current) for work in works]
 
         async def start():
             works.append(assemble(loop, read(), read))
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -13,14 +13,14 @@
 
 def has_left(harness, request_id=b"r1"):
     """Returns whether the node knows that this request's client has left."""
-    open_request = harness.desk.owed.get(request_id)
+    open_request = harness.host.requests.pending.get(request_id)
     return open_request is None or open_request.client is None
 
 
 async def open_idle_connection(harness, executor):
     """Serves one request, so that there is an idle connection which carries the next at once."""
     await harness.serve_another(executor, "r0")
-    await until(lambda: not harness.door.connections.accepted, "its close")
+    await until(lambda: not harness.listener.connections.accepted, "its close")
 
 
 async def until_connecting(harness):
@@ -100,11 +100,13 @@
             client = BlockingClient(harness.address).send_request()
             await until_connecting(harness)
             if how == "throttle":
-                harness.desk.do(harness.turn.clock(), Throttle(b"r1", 0))
-                harness.desk.dispatcher.handle(harness.turn.clock(), ClientLeft(b"r1"))
+                harness.host.perform(harness.batch.clock(), Throttle(b"r1", 0))
+                harness.host.dispatcher.handle(harness.batch.clock(), ClientLeft(b"r1"))
             else:
-                harness.desk.overslept(harness.turn.clock(), harness.desk.owed[b"r1"])
-            harness.turn.hurry()
+                harness.host.requests.fail_unanswered(
+                    harness.batch.clock(), harness.host.requests.pending[b"r1"]
+                )
+            harness.batch.schedule()
             response = await client.response()
             harness.gate.opened.set()
             client.leave()
@@ -179,10 +181,10 @@
             await open_idle_connection(harness, executor)
             client = BlockingClient(harness.address)
             if kept:
-                await until(lambda: len(harness.door.connections.accepted) == 1, "the connection")
+                await until(lambda: len(harness.listener.connections.accepted) == 1, "the connection")
             client.send_request().leave(reset)
             time.sleep(0.35)  # the stall itself
-            counts = harness.turn.gauges.counts
+            counts = harness.batch.metrics.counts
             await until(lambda: counts["left"] or len(executor.received) > 1, "its end")
             await harness.serve_another(executor)
         executor.server.close()
@@ -204,7 +206,7 @@
             if not connects:
                 await open_idle_connection(harness, executor)
             client = BlockingClient(harness.address)
-            forward = harness.desk.carriers[Forward]
+            forward = harness.host.performers[Forward]
             slowed = []
 
             def forward_slowly(now, *what):
@@ -214,7 +216,7 @@
                     client.leave()
                     time.sleep(0.35)  # the batch's own length
 
-            harness.desk.carriers[Forward] = forward_slowly
+            harness.host.performers[Forward] = forward_slowly
             client.send_request()
             await until(lambda: slowed and has_left(harness), "that the client has left")
             await harness.serve_another(executor)
@@ -237,8 +239,8 @@
             client = BlockingClient(harness.address)
             client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
             client.socket.sendall(b"GET /up HTTP/1.1\r\n\r\n")
-            await until(lambda: harness.door.connections.accepted, "the connection")
-            transport = next(iter(harness.door.connections.accepted)).transport
+            await until(lambda: harness.listener.connections.accepted, "the connection")
+            transport = next(iter(harness.listener.connections.accepted)).transport
             node_socket = transport.get_extra_info("socket")
             node_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
             transport.write(b"x" * 900_000)  # what it does not read
@@ -246,10 +248,10 @@
             await until_connecting(harness)
             client.socket.shutdown(socket.SHUT_WR)
             replied = []
-            harness.desk.reply = lambda now, open_request, *what: replied.append(open_request.id)
+            harness.host.requests.respond = lambda now, open_request, *what: replied.append(open_request.id)
             await until(lambda: has_left(harness) or replied, "that the client has left")
             assert not replied and transport.get_write_buffer_size()
-            del harness.desk.reply
+            del harness.host.requests.respond
             harness.gate.opened.set()
             await harness.serve_another(executor)
             client.leave(reset=True)
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -45,9 +45,12 @@
                 "moved": [{**new.row(), "name": "s-1"}],
                 "restarted": [old.row(since_ms=5)],  # the same address, as another process
             }[change]
-            version = harness.node.watch.version
+            version = harness.node.parts.discovery.version
             discovery.answer(2, *rows)
-            await until(lambda: harness.node.watch.version != version and not harness.turn.inbox, "the list")
+            await until(
+                lambda: harness.node.parts.discovery.version != version and not harness.batch.events,
+                "the list",
+            )
             harness.gate.opened.set()
             executor = old if change == "restarted" else new
             await until(lambda: executor.received, "the attempt")
@@ -84,7 +87,7 @@
             await until(lambda: harness.gate.waiting == 1 and executor.writers, "the connect")
             executor.writers[0].close()
             await until(lambda: not harness.endpoint().connections, "that it is lost")
-            harness.desk.listed(harness.turn.clock(), False, [other_row])
+            harness.host.endpoints.on_list(harness.batch.clock(), False, [other_row])
             harness.gate.opened.set()
             await until(lambda: other.received or executor.received, "the next attempt")
             await harness.finish(client, name="s-2" if other.received else "s-1")
@@ -106,7 +109,7 @@
         row = other.row(name="s-1", address="a..b:80")
         async with NodeHarness(row, discovery=discovery) as harness:
             client = BlockingClient(harness.address).send_request()
-            counts = harness.turn.gauges.counts
+            counts = harness.batch.metrics.counts
             await until(lambda: counts["unconnected"] and discovery.polls, "the failed connect")
             discovery.answer(2, other.row())
             await until(lambda: other.received, "the next attempt")
@@ -174,7 +177,9 @@
             first = BlockingClient(harness.address).send_request("r0")
             await until(lambda: old.received and discovery.polls, "attempt and poll")
             discovery.answer(2, new.row())
-            await until(lambda: harness.node.watch.version == 2 and not harness.turn.inbox, "the list")
+            await until(
+                lambda: harness.node.parts.discovery.version == 2 and not harness.batch.events, "the list"
+            )
             old.writers[0].write(ACCEPTED)
             await until(lambda: not harness.endpoint().connections or harness.endpoint().idle, "the response")
             await harness.finish(first, "r0")
@@ -209,7 +214,7 @@
                 "a full kernel",
             )
             discovery.answer(2, hasty.row(status="Terminating"), other.row())
-            await until(lambda: harness.node.watch.version == 2, "the list")
+            await until(lambda: harness.node.parts.discovery.version == 2, "the list")
             hasty.writers[0].write(NEVER_RAN)
             await until(lambda: other.received, "the next attempt")
             hasty.may_read.set()
@@ -241,16 +246,16 @@
             await until(lambda: len(executor.received) == 2, "the second attempt")
             connection = next(iter(harness.endpoint().connections))
             assert len(executor.writers) == 1 and connection.expects_duplicate
-            attempt = harness.desk.owed[b"r1"].flights[0]
+            attempt = harness.host.requests.pending[b"r1"].attempts[0]
             executor.writers[0].write(NEVER_RAN)
             await until(
-                lambda: connection.suspect_response or attempt.done or len(executor.received) > 2,
+                lambda: connection.suspect_response or attempt.is_ended or len(executor.received) > 2,
                 "the response",
             )
             if twice:
                 executor.writers[0].write(ACCEPTED)
-                await until(lambda: attempt.accepted or attempt.done, "its own response")
-                assert not attempt.done  # what runs there is not taken for never run
+                await until(lambda: attempt.is_accepted or attempt.is_ended, "its own response")
+                assert not attempt.is_ended  # what runs there is not taken for never run
             else:
                 executor.respond = lambda line, headers: ACCEPTED
                 await until(lambda: len(executor.received) == 3, "the next attempt")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -214,8 +214,9 @@
         (
             VIEW,
             {f"s-{i}": "silent" for i in range(4)},
-            "from grebedyke.service.desk import Desk; take = Desk.take\n"
-            "Desk.take = lambda s, c, i: take(s, c, i._replace(timeout=i.timeout + 3_000))",
+            "from grebedyke.service.request_table import RequestTable\n"
+            "accept = RequestTable.accept\n"
+            "RequestTable.accept = lambda s, c, i: accept(s, c, i._replace(timeout=i.timeout + 3_000))",
             False,
             1,
             "answered 1.2",
@@ -223,8 +224,10 @@
         (
             VIEW,
             {},
-            "from grebedyke.service.desk import Desk; told = Desk.listed\n"
-            "Desk.listed = lambda s, n, w, rows: told(s, n, w, [r for r in rows if r[5] == 'healthy'])",
+            "from grebedyke.service.endpoint_updates import EndpointUpdates\n"
+            "on_list = EndpointUpdates.on_list\n"
+            "healthy = lambda rows: [row for row in rows if row.state == 'healthy']\n"
+            "EndpointUpdates.on_list = lambda s, n, whole, rows: on_list(s, n, whole, healthy(rows))",
             True,
             3,
             "reached s-0",
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -4,6 +4,7 @@
 from loguru import logger
 
 from grebedyke.service import log
+from grebedyke.service.metrics import Metrics
 
 
 def read_all(fd):
@@ -20,7 +21,7 @@
 def test_a_reader_that_stops_holds_nothing_up_and_is_told_what_it_missed():
     # A log line that waits for its reader keeps the loop waiting, with all that it owes.
     out, into = os.pipe()
-    sink = log.Sink(into, lambda n: f"{n} dropped\n")
+    sink = log.NonBlockingSink(into, lambda n: f"{n} dropped\n")
     line = "x" * 999 + "\n"
     for _ in range(1_000):
         sink.write(line)  # a pipe holds 65,536 bytes
@@ -45,12 +46,12 @@
 
 def test_json_lines_have_stable_keys_and_figures_as_numbers():
     out, into = os.pipe()
-    log.open_log("n\u0171", form="json", fd=into)
-    gauges = log.Gauges()
-    gauges.count("taken")
-    gauges.wait(25)
-    gauges.levels = lambda: {"out": 2}
-    gauges.report()
+    log.open_log("n\u0171", form="json", descriptor=into)
+    metrics = Metrics()
+    metrics.count("taken")
+    metrics.record_wait(25)
+    metrics.read_levels = lambda: {"out": 2}
+    metrics.report()
     logger.info("phase {before} -> {after}", event="phase", before="a", after="b")
     try:
         raise ValueError("{braces}")
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -164,9 +164,9 @@
         listen="%s:%d" % (discovery.host_and_port[0], free_port()),
     )
     await harness.__aenter__()
-    harness.desk.also_listed = discovery.list_changed
+    harness.host.endpoints.list_listener = discovery.list_changed
     if way == "moved":
-        harness.node.watch.move(*discovery.host_and_port)
+        harness.node.parts.discovery.move(*discovery.host_and_port)
     with suppress(TimeoutError):
         await asyncio.wait_for(discovery.known.wait(), 25)
     harness.node.stop()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,12 +13,12 @@
 from grebedyke.checks import checked
 from grebedyke.model.endpoint_list import EndpointRow
 from grebedyke.model.events import EndpointsChanged
-from grebedyke.service import configuration, node
+from grebedyke.service import configuration, graceful_shutdown, node
 from grebedyke.service.assembly import assemble
+from grebedyke.service.batch_loop import BatchLoop
 from grebedyke.service.configuration.reading import NODE
-from grebedyke.service.log import Gauges
+from grebedyke.service.metrics import Metrics
 from grebedyke.service.reload import reload
-from grebedyke.service.turn import Turn
 from grebedyke.wire.discovery_client import DiscoveryClient, DiscoveryConnection, DiscoverySettings
 from grebedyke.wire.endpoint_rows import ListedEndpoint
 from grebedyke.wire.peer_socket import PeerSocket
@@ -191,7 +191,7 @@
 
 def test_sigterm_while_an_executor_still_calls_back(monkeypatch):
     # New connections and call-backs go on coming while what is owed is waited for.
-    monkeypatch.setattr(node, "LAST", 10_000)
+    monkeypatch.setattr(graceful_shutdown, "LONGEST_SHUTDOWN", 10_000)
 
     async def story(calls_back):
         executor = await Executor().start()
@@ -232,9 +232,9 @@
 def test_words_come_from_named_nodes_only_and_may_be_odd(tmp_path):
     async def story():
         loop, heard = asyncio.get_running_loop(), []
-        turn = still(Loop())
-        turn.put = lambda call, *args: call(NOW, *args)
-        nodes = [PeerSocket(loop, turn, lambda now, *args: heard.append(args)) for _ in range(3)]
+        batch = still(Loop())
+        batch.enqueue = lambda call, *args: call(NOW, *args)
+        nodes = [PeerSocket(loop, batch, lambda now, *args: heard.append(args)) for _ in range(3)]
         addresses = [("127.0.0.1", free_port()) for _ in nodes]
         for i, peers in enumerate(nodes):
             peers.set_peers(addresses[:2] if i < 2 else addresses, i)  # the first two do not know the third
@@ -280,17 +280,20 @@
         (node.Phase.STOPPED, node.Phase.SERVING),
         (node.Phase.STARTING, node.Phase.STOPPING),
     ):
-        assert to not in node.ALLOWED[phase]
+        assert to not in node.NEXT_PHASES[phase]
 
 
 def test_what_a_turn_gives_rise_to_waits_for_the_next():
     loop, seen = Loop(), []
-    turn = Turn(loop, Gauges())
+    batch = BatchLoop(loop, Metrics())
     decisions = [("a",), None, ("b",), None]
-    turn.decide = lambda now: decisions.pop(0) if decisions else None
-    turn.carry = lambda now, decision: (seen.append(decision[0]), turn.put(lambda now: seen.append("input")))
-    turn.put(lambda now: seen.append("first"))
-    turn.put(lambda now: seen.append("second"))
+    batch.next_action = lambda now: decisions.pop(0) if decisions else None
+    batch.carry_out = lambda now, decision: (
+        seen.append(decision[0]),
+        batch.enqueue(lambda now: seen.append("input")),
+    )
+    batch.enqueue(lambda now: seen.append("first"))
+    batch.enqueue(lambda now: seen.append("second"))
     loop.ready.pop(0)()
     assert seen == ["first", "second", "a"] and len(loop.ready) == 1
     loop.go()
@@ -300,11 +303,11 @@
 def test_limits_fire_in_order_after_the_inputs():
     # An end that is here already goes before the forward's time limit, as after a stall.
     loop, seen = Loop(), []
-    turn = Turn(loop, Gauges())
-    turn.decide = lambda now: None
+    batch = BatchLoop(loop, Metrics())
+    batch.next_action = lambda now: None
     for at in (3, 1, 2):
-        turn.at(at, lambda now, at=at: seen.append(at))
-    turn.put(lambda now: seen.append("input"))
+        batch.call_at(at, lambda now, at=at: seen.append(at))
+    batch.enqueue(lambda now: seen.append("input"))
     loop.go()
     assert seen == ["input", 1, 2, 3]
 
@@ -312,11 +315,11 @@
 def lists(*answers, again=10_000, quick=False):
     """A watch that is given these answers; what it tells and asks."""
     loop, told_ = Loop(), Told()
-    turn = still(loop)
-    turn.decide = lambda now: None
+    batch = still(loop)
+    batch.next_action = lambda now: None
     watch = DiscoveryClient(
         loop,
-        turn,
+        batch,
         ("127.0.0.1", 1),
         41,
         DiscoverySettings(50_000, 10_000, again, again),
@@ -356,16 +359,18 @@
         watch, _, asked = lists({"index": 42, "endpoints": row}, quick=quick)
         assert asked.count(b"GET ") == asks
         if asks == 1:
-            next(call for _, _, call, _ in watch.batch.limits if call == watch.poll)(0)
+            next(call for _, _, call, _ in watch.batch.timers if call == watch.poll)(0)
             watch.loop.go()
             assert watch.connection.transport.written.count(b"GET ") == 2
 
 
 def test_the_log_has_the_first_few_of_what_a_bad_peer_does():
-    gauges = Gauges()
-    assert [gauges.few("odd") for _ in range(7)] == [True] * 5 + [False] * 2 and gauges.counts["odd"] == 7
-    gauges.report()
-    assert gauges.few("odd")
+    metrics = Metrics()
+    assert [metrics.count_and_may_log("odd") for _ in range(7)] == [True] * 5 + [
+        False
+    ] * 2 and metrics.counts["odd"] == 7
+    metrics.report()
+    assert metrics.count_and_may_log("odd")
 
 
 def test_a_line_of_the_list_without_an_address_costs_no_other():
@@ -399,7 +404,7 @@
     assert len(lines) == 2  # guards against a line each: the log is no part of the list
     # What is older is not applied; the next ask is for the whole list, which is taken whatever its version.
     assert watch.version is None and not watch.polling
-    next(call for _, _, call, _ in watch.batch.limits if call == watch.poll)(0)
+    next(call for _, _, call, _ in watch.batch.timers if call == watch.poll)(0)
     watch.loop.go()
     asked = b"GET /discovery/hosts HTTP/1.1\r\nHost: 127.0.0.1:1\r\n\r\n"
     assert watch.connection.transport.written.endswith(asked)
@@ -416,7 +421,7 @@
             watch.connection.connection_lost(None)
         watch.loop.go()
         assert not watch.polling and watch.connection is None
-        again = [x for x in watch.batch.limits if x[2] == watch.poll]
+        again = [x for x in watch.batch.timers if x[2] == watch.poll]
         assert len(again) == 1  # a push site's node goes on asking by itself
 
 
@@ -445,10 +450,10 @@
 def test_a_connect_of_the_old_watch_does_not_end_the_new_one(monkeypatch):
     async def story(refused):
         loop, told_, opened = asyncio.get_running_loop(), Told(), []
-        turn = still(Loop())
+        batch = still(Loop())
         watch = DiscoveryClient(
             loop,
-            turn,
+            batch,
             ("127.0.0.1", 1),
             41,
             DiscoverySettings(50_000, 10_000, 10_000, 10_000),
@@ -471,11 +476,11 @@
         late, watch.connect_task = watch.connect_task, None  # as if it were past being cancelled
         watch.move("127.0.0.2", 2)
         await asyncio.gather(late, watch.connect_task)
-        return opened, watch, turn
+        return opened, watch, batch
 
     for refused in (True, False):
-        opened, watch, turn = asyncio.run(story(refused))
-        assert opened == [1, 2] and watch.polling and not watch.failing and not turn.inbox
+        opened, watch, batch = asyncio.run(story(refused))
+        assert opened == [1, 2] and watch.polling and not watch.failing and not batch.events
         assert not watch.connection.transport.closing
 
 
@@ -511,8 +516,8 @@
 
 def test_a_restart_is_told_on_the_modules_clock():
     place = floor()
-    place.desk.shift = -5_000
-    place.desk.listed(
+    place.host.endpoints.unix_time_offset = -5_000
+    place.host.endpoints.on_list(
         0,
         True,
         [ListedEndpoint("s-1", ("127.0.0.1", 9), "a", "m", 0, "healthy", since, 1) for since in (0, 700)],
@@ -628,7 +633,7 @@
                 say_("b", i % 24 == 9)
                 works["b"].reload()
             elif i == 34:  # faulty: the settings stay in force whole
-                before = works["a"].desk.dispatcher.context.uses_coordinators
+                before = works["a"].parts.host.dispatcher.context.uses_coordinators
                 files["a"].write_bytes(
                     orjson.dumps(
                         {
@@ -639,15 +644,22 @@
                 )
                 works["a"].reload()
                 assert (
-                    works["a"].desk.dispatcher.context.uses_coordinators == before
-                    and works["a"].desk.dispatcher.context.settings.scheduling_interval == 50
+                    works["a"].parts.host.dispatcher.context.uses_coordinators == before
+                    and works["a"].parts.host.dispatcher.context.settings.scheduling_interval == 50
                 )
-            words += sum(len(work.desk.dispatcher.lending.leases) for work in works.values())
+            words += sum(len(work.parts.host.dispatcher.lending.leases) for work in works.values())
         texts = {id: await answer for id, answer in answers.items()}
-        assert words and not any(work.desk.dispatcher.context.uses_coordinators for work in works.values())
-        assert all(not work.desk.owed and not work.desk.dispatcher.requests for work in works.values())
+        assert words and not any(
+            work.parts.host.dispatcher.context.uses_coordinators for work in works.values()
+        )
+        assert all(
+            not work.parts.host.requests.pending and not work.parts.host.dispatcher.requests
+            for work in works.values()
+        )
         assert all(
-            not e.slots_in_use for work in works.values() for e in work.desk.dispatcher.endpoints.healthy
+            not e.slots_in_use
+            for work in works.values()
+            for e in work.parts.host.dispatcher.endpoints.healthy
         )
         assert b" 404 " in await one_answer(addresses["a"], "more", "a-x")
         for work in works.values():
@@ -742,7 +754,7 @@
             lambda: configuration.read_node(environ),
         )
         work.phase = node.Phase.SERVING
-        parts = with_its_rules(work.desk.dispatcher.endpoints)
+        parts = with_its_rules(work.parts.host.dispatcher.endpoints)
         before = [vars(part).copy() for part in parts]
         for said, word in (
             ("{", "not JSON"),
@@ -759,10 +771,10 @@
                 file.write_bytes(said.encode() if isinstance(said, str) else orjson.dumps(said))
             work.reload()
             assert "reload refused" in lines[-1] and word in lines[-1], lines[-1]
-            assert not work.turn.inbox and [vars(part) for part in parts] == before
+            assert not work.parts.batch.events and [vars(part) for part in parts] == before
         file.write_bytes(orjson.dumps(sound))
         work.reload()
-        assert "settings as before" in lines[-1] and not work.turn.inbox
+        assert "settings as before" in lines[-1] and not work.parts.batch.events
 
     sink = logger.add(lambda text: lines.append(str(text)))
     try:
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -113,16 +113,16 @@
         executor = await ExecutorEmulator().start()
         harness = NodeHarness(executor.row(), waits=False)
         async with harness:
-            listen, clients = harness.door.listen, []
+            listen, clients = harness.listener.listen, []
 
             async def listening(*args):
                 await listen(*args)
                 clients.append(BlockingClient(harness.address).send_request())
-                await until(lambda: b"r1" in harness.desk.owed, "that it is taken")
+                await until(lambda: b"r1" in harness.host.requests.pending, "that it is taken")
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until(lambda: harness.node.told_to_end, "the signal")
+                await until(lambda: harness.node.is_stop_requested, "the signal")
 
-            harness.door.listen = listening
+            harness.listener.listen = listening
             await until(lambda: harness.node.phase == node.Phase.STOPPING, "the stop")
             await until(lambda: executor.received, "the forward")
             await harness.call_back("done")
@@ -142,9 +142,10 @@
         async with NodeHarness(executor.row()) as harness:
             client, head = BlockingClient(harness.address), BlockingClient.request_head("r1", 3) + b"abc"
             client.socket.sendall(head[:half])
-            await until(lambda: harness.door.connections.accepted, "the connection")
-            settle, looked = harness.node.settle, []
-            harness.node.settle = lambda *args: (looked.append(1), settle(*args))
+            await until(lambda: harness.listener.connections.accepted, "the connection")
+            shutdown = harness.node.shutdown
+            wind_down, looked = shutdown.wind_down, []
+            shutdown.wind_down = lambda *args: (looked.append(1), wind_down(*args))
             harness.node.stop()
             await until(lambda: len(looked) > 1 or harness.serving.done(), "a look at the end")
             client.socket.sendall(head[half:])
@@ -165,16 +166,16 @@
         executor = await ExecutorEmulator().start()
         async with NodeHarness(executor.row()) as harness:
             client = BlockingClient(harness.address)
-            await until(lambda: harness.door.connections.accepted, "the connection")
+            await until(lambda: harness.listener.connections.accepted, "the connection")
             harness.node.stop()
-            leave, left = harness.node.leave, []
-            harness.node.leave = lambda: left.append(1)
+            close, closed = harness.node.close, []
+            harness.node.close = lambda: closed.append(1)
             harness.node.finish()
             client.send_request()
             answer = await client.response()
             client.leave()
-            await until(lambda: left, "the loop's end")
-            leave()
+            await until(lambda: closed, "the loop's end")
+            close()
         executor.server.close()
         return answer, executor.received
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -16,15 +16,16 @@
             await until(lambda: executor.received, "the forward")
             heir = NodeHarness(executor.row(), folder=str(tmp_path), listen="%s:%d" % old.address)
             await heir.__aenter__()
-            await until(lambda: old.node.handover.ready, "the heir")
+            await until(lambda: old.node.parts.hot_restart.successor_is_ready, "the heir")
             old.node.stop()
-            await until(lambda: not old.door.server, "the queue given over")
-            heir.node.handover.old.close()  # as at its death: the line, the listener and what it has
-            heir.door.close()
+            await until(lambda: not old.listener.server, "the queue given over")
+            # As at its death: the channel, the listener and what it has.
+            heir.node.parts.hot_restart.predecessor.close()
+            heir.listener.close()
             heir.serving.cancel()
-            heir.node.handover.close()
-            heir.node.watch.close()
-            await until(lambda: old.door.server, "a listener again")
+            heir.node.parts.hot_restart.close()
+            heir.node.parts.discovery.close()
+            await until(lambda: old.listener.server, "a listener again")
             await old.call_back("done")
             answer = await client.response()
             client.leave()
@@ -47,19 +48,19 @@
             async with NodeHarness(
                 executor.row(), folder=str(tmp_path), listen="%s:%d" % old.address, gated=[executor.address]
             ) as heir:
-                await until(lambda: old.node.handover.ready, "the heir")
-                adopt, adopted = heir.door.adopt, []
+                await until(lambda: old.node.parts.hot_restart.successor_is_ready, "the heir")
+                adopt, adopted = heir.listener.adopt, []
 
                 async def adopting(**what):
                     client.send_request("r2").leave()  # with the kernel before the heir has the connection
                     adopted.append(await adopt(**what))
 
-                take, taken = heir.door.on_request, []
-                heir.door.on_request = lambda *what: (taken.append(what[1].request_id), take(*what))
-                heir.door.adopt = adopting
+                take, taken = heir.listener.on_request, []
+                heir.listener.on_request = lambda *what: (taken.append(what[1].request_id), take(*what))
+                heir.listener.adopt = adopting
                 old.node.stop()
                 await until(lambda: adopted, "the connection handed over")
-                await until(lambda: taken and not heir.door.connections.accepted, "its close")
+                await until(lambda: taken and not heir.listener.connections.accepted, "its close")
                 heir.gate.opened.set()
             await asyncio.wait_for(old.serving, 20)
         executor.server.close()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -16,7 +16,7 @@
 )
 
 from grebedyke.service import configuration, node
-from grebedyke.service.assembly import parts_of
+from grebedyke.service.node_settings import node_settings
 from grebedyke.wire.discovery_client import LATE_ANSWER_TIME, DiscoveryClient
 
 
@@ -90,7 +90,9 @@
         harness = NodeHarness(executor.row(), discovery=discovery)
         harness.long_poll_wait = 1_000
         async with harness:
-            await until(lambda: harness.node.watch.version == 9 and not harness.turn.inbox, "the list")
+            await until(
+                lambda: harness.node.parts.discovery.version == 9 and not harness.batch.events, "the list"
+            )
             client = BlockingClient(harness.address).send_request()
             await until(lambda: other.received or executor.received, "the attempt")
             await harness.finish(client, name="s-2")
@@ -104,8 +106,7 @@
 def discovery_settings(drain_grace_ms, mode):
     rules = {**SETTINGS["rules"], "drainGraceMs": drain_grace_ms}
     terms = configuration.terms({**SETTINGS, "rules": rules, "registryMode": mode})
-    _, _, _, settings = parts_of(terms)
-    return settings
+    return node_settings(terms).discovery
 
 
 @pytest.mark.parametrize("drain", (0, 50, 300, 700, 2000, 30_000, 10**7))
@@ -136,7 +137,7 @@
     They polled it each fifth of a second, gave up what stood in its queue, and never had an answer.
     """
     delays = []
-    batch = SimpleNamespace(put=lambda *what: None, after=lambda delay, call: delays.append(delay))
+    batch = SimpleNamespace(enqueue=lambda *what: None, call_later=lambda delay, call: delays.append(delay))
     for mode, expected in (("ask", [2_500, 5_000, 7_500, 7_500]), ("push", [2_500] * 4)):
         delays.clear()
         settings = discovery_settings(2_000, mode)
@@ -152,7 +153,7 @@
     What discovery has counts as known from the first moment of a process: a request went to an executor that
     had long begun to drain.
     """
-    monkeypatch.setattr(node, "FIRST", 20, raising=False)
+    monkeypatch.setattr(node, "FIRST_LIST_TIMEOUT_S", 20)
 
     async def story():
         executor = await ExecutorEmulator().start()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -118,7 +118,7 @@
         assert client.transport.written.startswith(b"HTTP/1.1 %d " % status), data
         assert (
             (client.transport.eof or client.transport.closing) == last
-            and not node.desk.owed
+            and not node.host.requests.pending
             and not node.told.heard
         )
 
@@ -130,7 +130,7 @@
     assert client.transport.written.startswith(b"HTTP/1.1 413") and not client.transport.closing
     say(client, b"x" * 70_000, 999)
     assert client.transport.written.count(b"HTTP/1.1") == 1 and not client.ring.used
-    _, _, call, args = node.turn.limits[0]
+    _, _, call, args = node.batch.timers[0]
     call(0, *args)
     assert client.transport.closing
 
@@ -139,7 +139,7 @@
     node = floor()
     client, seen = node.client(), []
     for up, stopping in ((False, False), (True, False), (True, True)):
-        node.door.has_listened, node.door.stopping = up, stopping
+        node.listener.has_listened, node.listener.stopping = up, stopping
         client.transport.written = b""
         say(client, b"GET /up HTTP/1.1\r\n\r\n")
         node.loop.go()
@@ -156,9 +156,9 @@
     say(third, HAND_IN.replace(b"r1", b"r3"))
     node.loop.go()
     assert third.transport.written.startswith(b"HTTP/1.1 503") and third.transport.closing
-    assert b"r3" not in node.desk.owed
+    assert b"r3" not in node.host.requests.pending
     third.connection_lost(None)
-    node.desk.do(0, Fail(b"r1"))
+    node.host.perform(0, Fail(b"r1"))
     node.loop.go()
     fresh = node.client()  # over the cap again: the one that is between two messages makes room
     assert busy[0].transport.closing and not busy[1].transport.closing and not fresh.transport.closing
@@ -167,13 +167,13 @@
 def test_an_answer_of_this_turn_goes_out_before_its_connection_is_closed():
     # At the stop's end, and where room is made, the answer was still in the ring and was lost.
     for close in (
-        lambda node: node.door.close_idle(),
+        lambda node: node.listener.close_idle(),
         lambda node: node.client(),
-        lambda node: node.door.close(),
+        lambda node: node.listener.close(),
     ):
         node = floor(most=1)
         client = node.hand_in()
-        node.desk.do(NOW, Fail(b"r1"))
+        node.host.perform(NOW, Fail(b"r1"))
         close(node)
         node.loop.go()
         assert client.transport.closing and client.transport.written.startswith(b"HTTP/1.1 500")
@@ -190,7 +190,7 @@
     ):
         node = floor(most=16)
         kept = node.hand_in()
-        node.desk.do(NOW, Fail(b"r1"))
+        node.host.perform(NOW, Fail(b"r1"))
         node.loop.go()
         crowd = [
             (name, say(node.client(), text))
@@ -198,19 +198,21 @@
             + [("silent", HAND_IN[:30])] * silent
         ]
         node.loop.go()
-        connections = node.door.connections
+        connections = node.listener.connections
         connections.incomplete = {c: since - age for c, since in connections.incomplete.items()}
         good = say(node.client(), HAND_IN.replace(b"r1", b"r2"))
         node.loop.go()
         assert [name for name, c in crowd if c.transport.closing] == closed, (silent, asked, age)
-        assert b"r2" in node.desk.owed and not kept.transport.closing and not good.transport.closing
+        assert (
+            b"r2" in node.host.requests.pending and not kept.transport.closing and not good.transport.closing
+        )
 
 
 def test_of_many_clients_that_ask_once_and_stay_the_longest_idle_go():
     # Those that came later found no descriptor of the clients' share left, and were not taken at all.
     node = floor(share=0)
     client = node.hand_in()
-    node.desk.do(NOW, Fail(b"r1"))
+    node.host.perform(NOW, Fail(b"r1"))
     node.loop.go()
     assert not say(client, HAND_IN).transport.closing  # never one that hands in
     node, clients = floor(share=2), []
@@ -218,7 +220,7 @@
     for i in range(4):
         clients.append(say(node.client(), HAND_IN.replace(b"r1", b"r%d" % i)))
         if i != 1:
-            node.desk.do(NOW, Fail(b"r%d" % i))
+            node.host.perform(NOW, Fail(b"r%d" % i))
         node.loop.go()
     assert [c.transport.closing for c in clients] == [True, False, True, False]
 
@@ -238,11 +240,11 @@
     node = floor()
     slow, mute, owed, used = say(node.client(), HAND_IN[:-1]), node.client(), node.hand_in(), node.client()
     say(used, HAND_IN.replace(b"r1", b"r2"))
-    node.desk.do(NOW, Fail(b"r2"))
+    node.host.perform(NOW, Fail(b"r2"))
     node.loop.go()
     say(used, HAND_IN[:-1])
     for after, told in ((20_000, []), (22_500, [slow, mute]), (70_000, [slow, mute, used])):
-        node.door.close_overdue(NOW + after)
+        node.listener.close_overdue(NOW + after)
         node.loop.go()
         assert [
             c for c in (slow, mute, owed, used) if c.transport.written.count(b"HTTP/1.1 408") == 1
@@ -308,7 +310,7 @@
         assert [x[3] for x in node.ends()] == ([outcome] if outcome else []), story
         assert answer in client.transport.written
         assert client.transport.written.count(b"HTTP/1.1") == bool(answer)
-        assert bool(node.desk.owed) == (outcome != "ok")
+        assert bool(node.host.requests.pending) == (outcome != "ok")
 
 
 def test_never_ran_only_while_the_last_byte_is_not_with_the_kernel():
@@ -332,9 +334,9 @@
 def test_a_line_that_ends_before_the_turn_writes_has_sent_nothing():
     node = floor()
     node.hand_in()
-    node.desk.do(NOW, Forward(b"r1", "s-1", 9_000))
+    node.host.perform(NOW, Forward(b"r1", "s-1", 9_000))
     node.lines[0].transport.closing = True
-    node.turn.run()
+    node.batch.run_batch()
     node.lines[0].connection_lost(None)
     node.loop.go()
     assert [x[3] for x in node.ends()] == [Outcome.CONNECT_FAILED] and not node.lines[0].transport.written
@@ -399,7 +401,7 @@
         for part in before or ():
             say(node.lines[0], part)
             node.loop.go()
-        node.desk.overdue(0, node.desk.owed[b"r1"].flights[0])
+        node.host.attempts.end_overdue(0, node.host.requests.pending[b"r1"].attempts[0])
         node.loop.go()
         assert [x[3] for x in node.ends()] == [outcome]
         assert node.lines[0].transport.closing == closing
@@ -417,7 +419,9 @@
             node.loop.go()
         other = join(type(node.lines[0])(node.pool.endpoints["s-1"]))
         node.pool.endpoints["s-1"].rest(other)
-        for _, _, call, args in [x for x in node.turn.limits if x[2] == node.desk.unheard]:
+        for _, _, call, args in [
+            x for x in node.batch.timers if x[2] == node.host.attempts.end_unacknowledged
+        ]:
             call(NOW + 5_000, *args)
         node.loop.go()
         # Sent again before the executor has heard that it is given up, it could be a second copy.
@@ -434,10 +438,10 @@
     # At the stop's end each deduplicated one went out again within a millisecond, as a second copy.
     for latest, heard in ((NOW + 20_000, ["left", "ended"]), (None, ["ended"])):
         node = floor()
-        node.desk.latest = latest
+        node.host.requests.shutdown_at = latest
         client = node.hand_in()
         node.forward(allowed=39_000 if latest else 9_000)
-        at, _, call, args = next(x for x in node.turn.limits if x[2] == node.desk.overdue)
+        at, _, call, args = next(x for x in node.batch.timers if x[2] == node.host.attempts.end_overdue)
         call(at, *args)
         node.loop.go()
         assert [x[0] for x in node.told.heard[1:]] == heard and node.ends()[0][4] == bool(latest)
@@ -452,7 +456,7 @@
         node.forward()
         say(node.lines[0], ACCEPTED)
         node.loop.go()
-        node.desk.do(NOW, Cancel(b"r1", 0))
+        node.host.perform(NOW, Cancel(b"r1", 0))
         node.loop.go()
         assert not node.ends() and b"DELETE /jobs/r1 " in node.lines[0].transport.written
         if ended:
@@ -461,7 +465,7 @@
             say(node.lines[0], b"HTTP/1.1 204 x\r\n\r\n")
         node.loop.go()
         assert [x[3] for x in node.ends()] == outcomes
-        _, _, call, args = max(node.turn.limits, key=lambda limit: limit[1])  # silence there has a limit
+        _, _, call, args = max(node.batch.timers, key=lambda limit: limit[1])  # silence there has a limit
         call(0, *args)
         node.loop.go()
         assert [x[3] for x in node.ends()] == (outcomes or ["cancelled"])
@@ -471,8 +475,8 @@
     for name, allowed, outcome in (("s-9", 9_000, "no connection"), ("s-1", 0, "moot")):
         node = floor()
         node.hand_in()
-        node.desk.do(NOW, Forward(b"r1", name, allowed))
-        node.desk.overslept(0, node.desk.owed[b"r1"]) if not allowed else None
+        node.host.perform(NOW, Forward(b"r1", name, allowed))
+        node.host.requests.fail_unanswered(0, node.host.requests.pending[b"r1"]) if not allowed else None
         node.forward() if allowed else None
         node.loop.go()
         assert node.ends() == [("ended", b"r1", 0, outcome, not allowed)]
@@ -485,10 +489,10 @@
     client.eof_received()
     client.connection_lost(None)
     node.loop.go()
-    assert ("left", b"r1") in node.told.heard and node.desk.owed[b"r1"].body is None
+    assert ("left", b"r1") in node.told.heard and node.host.requests.pending[b"r1"].body is None
     say(node.client(), news("done"))
     node.loop.go()
-    assert not client.transport.written and not node.desk.owed
+    assert not client.transport.written and not node.host.requests.pending
     assert node.ends() == [("ended", b"r1", 0, "ok", True)]
 
 
@@ -496,10 +500,10 @@
     node = floor()
     client = node.hand_in()
     node.forward()
-    node.desk.overslept(0, node.desk.owed[b"r1"])
+    node.host.requests.fail_unanswered(0, node.host.requests.pending[b"r1"])
     node.loop.go()
-    assert client.transport.written.startswith(b"HTTP/1.1 500") and not node.desk.owed
-    node.desk.do(0, Throttle(b"r1", 0))
+    assert client.transport.written.startswith(b"HTTP/1.1 500") and not node.host.requests.pending
+    node.host.perform(0, Throttle(b"r1", 0))
     assert client.transport.written.count(b"HTTP/1.1") == 1
 
 
@@ -507,16 +511,16 @@
     # A node that stood still for 0.6 s answered when its client had given up.
     for stall, early in ((0, 0), (200, 0), (6_000, 6_000)):
         node = floor()
-        node.turn.marks.extend([NOW - stall] * 3)
+        node.batch.pass_times.extend([NOW - stall] * 3)
         client = say(node.client(), HAND_IN)
-        assert client.open_request.due == NOW + 40_000 - 200 - early
+        assert client.open_request.answer_by == NOW + 40_000 - 200 - early
         node.loop.go()
         node.forward(allowed=39_000)
-        due = client.open_request.due
-        node.turn.limits.sort()
-        ends = [(limit[0], limit[2].__name__) for limit in node.turn.limits]
-        assert (due - 50, "overslept") in ends and any(
-            name == "overdue" and at < due - 50 for at, name in ends
+        due = client.open_request.answer_by
+        node.batch.timers.sort()
+        ends = [(limit[0], limit[2].__name__) for limit in node.batch.timers]
+        assert (due - 50, "fail_unanswered") in ends and any(
+            name == "end_overdue" and at < due - 50 for at, name in ends
         )
         assert node.told.heard[0][4] == NOW + 39_800
 
@@ -524,9 +528,9 @@
 def test_what_is_taken_while_stopping_is_no_repeat_to_the_module():
     # With its time cut to the stop's end the module throttled all that came after SIGTERM.
     node = floor()
-    node.desk.latest = NOW + 20_000
+    node.host.requests.shutdown_at = NOW + 20_000
     client = node.hand_in()
-    assert client.open_request.due == node.desk.latest
+    assert client.open_request.answer_by == node.host.requests.shutdown_at
     assert node.told.heard[0][4] == NOW + 39_800
 
 
@@ -535,7 +539,7 @@
     node.hand_in()
     node.pool.endpoints["s-1"].idle.clear()  # both descriptors in use: no third line
     node.lines[1].carry(node.pool.endpoints["s-2"].call(b"GET", b"/alive", (), b"", lambda *_: None))
-    node.desk.do(NOW, Forward(b"r1", "s-1", 9_000))
+    node.host.perform(NOW, Forward(b"r1", "s-1", 9_000))
     assert not node.ends()
     node.loop.go()
     assert [x[3] for x in node.ends()] == [Outcome.CONNECT_FAILED]
@@ -550,7 +554,7 @@
     node.forward()
     assert young.transport.written and not node.lines[0].transport.written
     node.lines[0].idle_since -= node.pool.settings.max_idle_time
-    node.desk.do(NOW, Probe("s-1"))
+    node.host.perform(NOW, Probe("s-1"))
     node.loop.go()
     assert not node.lines[0].transport.written
     node.pool.sweep(NOW)
@@ -578,7 +582,7 @@
         assert node.pool.usable_idle_time == usable, (ending, first)
         node.pool.endpoints["s-2"].idle = [node.lines[1]]
         node.lines[1].idle_since = NOW - 20_000
-        node.desk.do(NOW, Probe("s-2"))
+        node.host.perform(NOW, Probe("s-2"))
         node.loop.go()
         assert bool(node.lines[1].transport.written) == (usable == 1_000_000)
         node.pool.sweep(NOW)
@@ -587,9 +591,9 @@
 
 def test_one_fault_does_not_end_the_turn_for_others():
     node = floor()
-    node.turn.put(lambda now: 1 / 0)
+    node.batch.enqueue(lambda now: 1 / 0)
     client = node.hand_in()
-    node.desk.do(0, Fail(b"r1"))
+    node.host.perform(0, Fail(b"r1"))
     node.loop.go()
     assert client.transport.written.startswith(b"HTTP/1.1 500")
 
@@ -601,10 +605,10 @@
         (b"", ("s-1", "timeout", None, None)),
     ):
         node = floor()
-        node.desk.do(NOW, Probe("s-1"))
+        node.host.perform(NOW, Probe("s-1"))
         node.loop.go()
         say(node.lines[0], answer)
         node.loop.go()
-        for _, _, call, args in list(node.turn.limits):
+        for _, _, call, args in list(node.batch.timers):
             call(0, *args)
         assert node.told.heard == [("probed", *told)]
