--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -26,11 +26,12 @@
 import msgpack
 import orjson
 import pytest
-from helpers import dispatcher
 
 if __name__ == "__main__":
     sys.path.insert(0, str(Path(__file__).parent.parent))
 
+import helpers
+
 from grebedyke import errors
 from grebedyke.checks import checked
 from grebedyke.consensus import framing, member_record, records
@@ -72,7 +73,6 @@
     "news": SlotProgressed,
     "end": SlotReleased,
 }
-PEER_KINDS = {message: kind for kind, message in PEER_MESSAGES.items()}
 
 
 def pack_datagram(kind, number, *figures):
@@ -81,24 +81,29 @@
 
 def unpack_datagram(body):
     message = peer_codec.decode(body)
-    return message and (PEER_KINDS[type(message)], *message)
+    if message is None:
+        return None
+    kind = next(kind for kind, type_ in PEER_MESSAGES.items() if type(message) is type_)
+    return (kind, *message)
 
 
 def deliver_datagram(sender, body):
-    """The figures with which a datagram reaches the rules in the dispatcher of node 1 of 3."""
+    """What a datagram comes to at the rules of node 1 of 3, each as one list of figures."""
     calls = []
-    receiver = dispatcher(nodes=3, me=1, split=1)
-    tracking = receiver.tracking
-    tracking.started = lambda now, event, start_delay: calls.append((now, *event, start_delay))
-    tracking.progressed = tracking.ended = lambda now, event: calls.append((now, *event))
-    receiver._peer_handlers |= {
-        SlotRequest: lambda now, node, x: calls.append((now, (node, x.number), *x[1:])),
-        SlotGrant: lambda now, node, x: calls.append((now, node, *x)),
-        SlotDenial: lambda now, node, x: calls.append((now, *x)),
+    node = helpers.dispatcher(nodes=3, me=1, split=1)
+    node._peer_handlers |= {
+        SlotRequest: lambda now, by, message: calls.append((now, (by, message.number), *message[1:])),
+        SlotGrant: lambda now, by, message: calls.append((now, by, *message)),
+        SlotDenial: lambda now, by, message: calls.append((now, *message)),
     }
+    node.tracking = SimpleNamespace(
+        started=lambda now, event, start_delay: calls.append((now, *event, start_delay)),
+        progressed=lambda now, event: calls.append((now, *event)),
+        ended=lambda now, event: calls.append((now, *event)),
+    )
     message = peer_codec.decode(body)
-    if message:
-        receiver.handle(1_000, PeerMessageReceived(sender, message))
+    if message is not None:
+        node.handle(1_000, PeerMessageReceived(sender, message))
     return calls
 
 
@@ -242,11 +247,12 @@
         dispatcher, now = self.node.desk.dispatcher, self.NOW
         for i, operation in enumerate(["op", "safe", "op", "safe"]):
             id = b"r%d" % i
-            then = now + i * TICKS_PER_SECOND
-            dispatcher.handle(then, RequestArrived(id, operation, "t", now + 90_000))
-            self.decisions(then)
-            dispatcher.handle(then + 5, AttemptEnded(id, 0, Outcome.CONNECT_FAILED, False))
-            self.decisions(then + 5)
+            request = RequestArrived(id, operation, "t", now + 90_000, 0, 1)
+            dispatcher.handle(now + i * TICKS_PER_SECOND, request)
+            self.decisions(now + i * TICKS_PER_SECOND)
+            end = AttemptEnded(id, 0, Outcome.CONNECT_FAILED, False, None)
+            dispatcher.handle(now + i * TICKS_PER_SECOND + 5, end)
+            self.decisions(now + i * TICKS_PER_SECOND + 5)
         self.node.desk.by_hand(now, "s-2", True)
 
     def decisions(self, now):
