--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -7,7 +7,7 @@
 import time
 
 import orjson
-from helpers import news
+from socketless_node import call_back_message
 
 from grebedyke.checks import checked
 from grebedyke.service import configuration, node
@@ -337,7 +337,7 @@
     async def call_back(self, state, request_id="r1", name="s-1", more=""):
         """Has an executor report a state of a job, on a connection of its own."""
         caller = BlockingClient(self.address)
-        caller.socket.sendall(news(state, name, request_id, more))
+        caller.socket.sendall(call_back_message(state, name, request_id, more))
         assert b" 204 " in await caller.response()
         caller.leave()
 
--- /dev/null
+++ b/tests/socketless_node.py
@@ -0,0 +1,243 @@
+"""A node's connections and request table without sockets, event loop or policy; its clock stands still."""
+
+from types import SimpleNamespace
+
+from grebedyke.model.actions import Forward
+from grebedyke.model.events import AttemptEnded
+from grebedyke.service.desk import Desk
+from grebedyke.service.log import Gauges
+from grebedyke.service.turn import Turn
+from grebedyke.wire.client_connection import ClientConnection
+from grebedyke.wire.client_listener import ClientListener, ListenerSettings
+from grebedyke.wire.connection_table import ConnectionLimits
+from grebedyke.wire.endpoint_rows import HEALTHY
+from grebedyke.wire.executor_connection import ExecutorConnection
+from grebedyke.wire.executor_pool import EndpointAddress, ExecutorPool, PoolSettings
+
+# Time of the clock that stands still, in ticks.
+NOW = 1_000_000
+# A client's request with a client timeout of 4 s.
+REQUEST = (
+    b"POST /op/k?q=1 HTTP/1.1\r\nX-Request-ID: r1\r\nX-Timeout-Ms: 4000\r\nIdempotency-Key: i1\r\n"
+    b"Content-Length: 3\r\n\r\nabc"
+)
+
+
+def request(number):
+    """Returns the bytes of a client's request with the identifier `r` and that number."""
+    return REQUEST.replace(b"r1", b"r%d" % number)
+
+
+def call_back_message(state, name="s-1", request_id="r1", more=""):
+    """Returns the bytes of an executor's call-back on a job; `more`: further fields of its JSON."""
+    body = f'{{"id":"{request_id}","from":"{name}","state":"{state}"{more}}}'.encode()
+    return b"POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+
+
+class FakeTransport:
+    """Stands in for a connection's transport.
+
+    Attributes:
+        written: What was written.
+        closing: Whether the connection has ended.
+        ended_sending: Whether only the sending side has ended.
+        stuck: Whether the kernel takes nothing of what is written.
+        protocol: The connection.
+    """
+
+    def __init__(self, protocol):
+        self.written = b""
+        self.closing = False
+        self.ended_sending = False
+        self.stuck = False
+        self.protocol = protocol
+
+    def set_write_buffer_limits(self, high):
+        assert high == 0
+
+    def write(self, data):
+        if self.stuck:
+            self.protocol.pause_writing()
+        else:
+            self.written += data
+
+    def is_closing(self):
+        return self.closing
+
+    def close(self):
+        self.closing = True
+
+    abort = close
+
+    def write_eof(self):
+        self.ended_sending = True
+
+    def pause_reading(self):
+        pass
+
+    resume_reading = pause_reading
+
+
+def connect(connection):
+    """Gives a connection a transport, and returns it."""
+    connection.connection_made(FakeTransport(connection))
+    return connection
+
+
+def receive(connection, data, step=None):
+    """Has a connection receive data, in pieces of `step` bytes, and returns it."""
+    while data:
+        buffer = connection.get_buffer(-1)
+        count = min(step or len(data), len(buffer), len(data))
+        buffer[:count] = data[:count]
+        connection.buffer_updated(count)
+        data = data[count:]
+    return connection
+
+
+class RecordingDispatcher:
+    """Stands in for the dispatcher: decides nothing.
+
+    Attributes:
+        events: The events that it got.
+    """
+
+    def __init__(self):
+        self.events = []
+
+    def next_action(self, now):
+        return None
+
+    def handle(self, now, event):
+        self.events.append(event)
+
+    def set_banned(self, now, name, is_banned):
+        return None
+
+
+class CallRecorder:
+    """Takes calls of any name.
+
+    Attributes:
+        calls: For each call its name and what it was given after the time.
+    """
+
+    def __init__(self):
+        self.calls = []
+
+    def __getattr__(self, name):
+        return lambda now, *arguments: self.calls.append((name, *arguments))
+
+
+class FakeEventLoop:
+    """Stands in for the event loop: runs what is due soon when told to; timers and connects never end."""
+
+    def __init__(self):
+        self.ready = []
+
+    def call_soon(self, call):
+        self.ready.append(call)
+
+    def call_at(self, when, call):
+        return SimpleNamespace(cancel=lambda: None)
+
+    def create_task(self, coroutine):
+        coroutine.close()
+        return SimpleNamespace(cancel=lambda: None, add_done_callback=lambda call: None)
+
+    def run_ready(self):
+        while self.ready:
+            self.ready.pop(0)()
+
+
+def frozen_batches(loop):
+    """Returns batches whose clock stands still: a slow machine must not change what is tested."""
+    batches = Turn(loop, Gauges())
+    batches.clock = lambda: NOW
+    batches.marks.extend([NOW] * 3)
+    return batches
+
+
+class SocketlessNode:
+    """A node whose dispatcher decides nothing, with executors s-1 and s-2 and an idle connection to each.
+
+    Attributes:
+        loop: The `FakeEventLoop`.
+        dispatcher: The `RecordingDispatcher`.
+        turn: The node's batches.
+        pool: The `ExecutorPool`.
+        desk: The node's request table.
+        listener: The `ClientListener`.
+        connections: The idle connections to s-1 and s-2.
+    """
+
+    def __init__(self, max_connections=9, max_executor_connections=9, max_requesters=99):
+        self.loop = FakeEventLoop()
+        self.dispatcher = RecordingDispatcher()
+        self.turn = frozen_batches(self.loop)
+        self.pool = ExecutorPool(
+            self.loop, self.turn, PoolSettings(1_000_000, 2_500), max_executor_connections
+        )
+        self.pool.duplicate_window = 0  # at a clock that stands still it would never be over
+        self.desk = Desk(
+            self.dispatcher, self.turn, self.pool, self.turn.gauges, 5, 100, b"/alive", 5_000, 200, 50
+        )
+        self.listener = ClientListener(
+            self.turn,
+            ListenerSettings({"op": 40_000}, 60_000),
+            ConnectionLimits(max_connections, max_requesters),
+            on_request=self.desk.take,
+            on_job_update=self.desk.news,
+            on_client_left=self.desk.left,
+        )
+        self.turn.decide = self.dispatcher.next_action
+        self.turn.carry = self.desk.do
+        address = ("127.0.0.9", 1)
+        self.pool.update_endpoints(
+            True, [EndpointAddress(name, address, HEALTHY, 0) for name in ("s-1", "s-2")]
+        )
+        self.connections = [self.connect_executor(name) for name in ("s-1", "s-2")]
+
+    def connect_executor(self, name="s-1"):
+        """Returns a new idle connection to an executor."""
+        endpoint = self.pool.endpoints[name]
+        connection = connect(ExecutorConnection(endpoint))
+        endpoint.rest(connection)
+        return connection
+
+    def run(self):
+        """Runs the batches that are due."""
+        self.loop.run_ready()
+
+    def client(self):
+        """Returns a new connection of a client."""
+        return connect(ClientConnection(self.listener))
+
+    def send_request(self, data=REQUEST):
+        """Has a new client send a request, and returns its connection."""
+        client = receive(self.client(), data)
+        self.run()
+        return client
+
+    def report(self, data):
+        """Has an executor make a call-back on a new connection, and returns that."""
+        caller = receive(self.client(), data)
+        self.run()
+        return caller
+
+    def act(self, action, now=NOW):
+        """Carries out an action of the dispatcher's, and runs the batches that are due then."""
+        self.desk.do(now, action)
+        self.run()
+
+    def forward(self, name="s-1", allowed=9_000):
+        """Sends the request r1 to an executor, with so many ticks for the attempt."""
+        self.act(Forward(b"r1", name, allowed))
+
+    def attempt_ends(self):
+        """Returns the ends of attempts that the dispatcher got, without the load that came with them."""
+        return [event[:4] for event in self.dispatcher.events if isinstance(event, AttemptEnded)]
+
+    def outcomes(self):
+        """Returns the outcomes of attempts that the dispatcher got."""
+        return [event.outcome for event in self.dispatcher.events if isinstance(event, AttemptEnded)]
--- /dev/null
+++ b/tests/test_client_listener.py
@@ -0,0 +1,182 @@
+"""The client listener: what it answers itself, which connections make room, how connections end."""
+
+from socketless_node import NOW, REQUEST, SocketlessNode, call_back_message, receive, request
+
+from grebedyke.model.actions import Fail
+
+
+def test_the_listener_answers_what_it_is_not_for():
+    for data, status, is_last in (
+        (b"GET /up HTTP/1.1\r\n\r\n", 503, False),
+        (b"POST /up HTTP/1.1\r\n\r\n", 405, False),
+        (b"GET /op/1 HTTP/1.1\r\n\r\n", 405, False),
+        (b"POST /other/1 HTTP/1.1\r\n\r\n", 404, False),
+        (REQUEST.replace(b"X-Request-ID: r1\r\n", b""), 400, True),
+        (REQUEST.replace(b"4000", b"-4"), 400, True),
+        (REQUEST.replace(b"4000", b"0"), 400, True),
+        (REQUEST.replace(b"4000", b"4001"), 400, True),
+        (REQUEST.replace(b"r1", b"r/1"), 400, True),
+        (REQUEST.replace(b"4000", b"4000\r\nX-Priority-Class: other"), 400, True),
+        (REQUEST.replace(b"4000", b"4000\r\nX-Cost: nan"), 400, True),
+        (REQUEST.replace(b"4000", b"4000\r\nX-Request-ID: r2"), 400, True),
+        (b"\x16\x03\x01 hello\r\n\r\n", 400, True),
+        (call_back_message("done").replace(b'"id"', b'"no"'), 204, False),
+    ):
+        node = SocketlessNode()
+        transport = node.send_request(data).transport
+        assert transport.written.startswith(b"HTTP/1.1 %d " % status), data
+        assert (transport.ended_sending or transport.closing) == is_last
+        assert not node.desk.owed and not node.dispatcher.events
+
+
+def test_a_response_to_a_message_cut_short_is_not_reset_by_what_still_comes():
+    """A client sends a body that is too large, and writes on after the response to it.
+
+    A close over unread bytes would reset the connection, and the client might not get the response.
+    """
+    node = SocketlessNode()
+    client = node.send_request(REQUEST.replace(b"Length: 3", b"Length: 70000"))
+    assert client.transport.written.startswith(b"HTTP/1.1 413") and not client.transport.closing
+    receive(client, b"x" * 70_000, 999)
+    assert client.transport.written.count(b"HTTP/1.1") == 1 and not client.ring.used
+    _, _, call, arguments = node.turn.limits[0]
+    call(0, *arguments)
+    assert client.transport.closing
+
+
+def test_up_is_200_from_listening_until_stopping():
+    node = SocketlessNode()
+    client = node.client()
+    statuses = []
+    for has_listened, stopping in ((False, False), (True, False), (True, True)):
+        node.listener.has_listened = has_listened
+        node.listener.stopping = stopping
+        client.transport.written = b""
+        receive(client, b"GET /up HTTP/1.1\r\n\r\n")
+        node.run()
+        statuses.append(client.transport.written[9:12])
+    assert statuses == [b"503", b"200", b"503"] and not client.transport.closing
+
+
+def test_a_newcomer_over_the_limit_is_never_closed_unread():
+    """A client connects while all connections that the node gives to clients wait for responses.
+
+    Its request may be with the kernel already: a close would lose it, so it gets an answer.
+    """
+    node = SocketlessNode(max_connections=2)
+    busy = [receive(node.client(), request(number)) for number in (1, 2)]
+    third = node.client()
+    assert not any(client.transport.closing for client in (*busy, third))
+    receive(third, request(3))
+    node.run()
+    assert third.transport.written.startswith(b"HTTP/1.1 503") and third.transport.closing
+    assert b"r3" not in node.desk.owed
+    third.connection_lost(None)
+    node.act(Fail(b"r1"), now=0)
+    fresh = node.client()  # over the limit again: the one that is between two messages makes room
+    assert busy[0].transport.closing and not busy[1].transport.closing and not fresh.transport.closing
+
+
+def test_a_response_of_this_batch_goes_out_before_its_connection_is_closed():
+    """A connection is closed in the batch of its last response, at shutdown or to make room.
+
+    The response was still in the ring and was lost.
+    """
+    for close in (
+        lambda node: node.listener.close_idle(),
+        lambda node: node.client(),
+        lambda node: node.listener.close(),
+    ):
+        node = SocketlessNode(max_connections=1)
+        client = node.send_request()
+        node.desk.do(NOW, Fail(b"r1"))
+        close(node)
+        node.run()
+        assert client.transport.closing and client.transport.written.startswith(b"HTTP/1.1 500")
+
+
+def test_who_is_closed_to_admit_a_newcomer():
+    """A crowd connects and sends nothing valid, and then a client with a request connects.
+
+    The crowd took the idle connections of all clients that had sent requests before.
+    """
+    health_check = b"GET /up HTTP/1.1\r\n\r\n"
+    for silent, checking, age, expected in (
+        (15, 0, 4_000, ["silent"]),
+        (15, 0, 0, []),
+        (14, 1, 0, ["checking"]),
+        (16, 0, 400, ["silent"]),
+        (0, 0, 0, []),
+    ):
+        node = SocketlessNode(max_connections=16)
+        proven = node.send_request()
+        node.act(Fail(b"r1"))
+        messages = [("checking", health_check)] * checking + [("silent", REQUEST[:30])] * silent
+        crowd = [(name, receive(node.client(), data)) for name, data in messages]
+        node.run()
+        connections = node.listener.connections
+        connections.incomplete = {
+            connection: since - age for connection, since in connections.incomplete.items()
+        }
+        newcomer = node.send_request(request(2))
+        closed = [name for name, connection in crowd if connection.transport.closing]
+        assert closed == expected, (silent, checking, age)
+        assert b"r2" in node.desk.owed
+        assert not proven.transport.closing and not newcomer.transport.closing
+
+
+def test_of_many_clients_that_ask_once_and_stay_the_longest_idle_go():
+    """Many clients send one request each and keep their connections open.
+
+    Those that came later found no descriptor of the clients' share left, and were not taken at all.
+    """
+    node = SocketlessNode(max_requesters=0)
+    client = node.send_request()
+    node.act(Fail(b"r1"))
+    assert not receive(client, REQUEST).transport.closing  # never one that sends a request
+
+    node = SocketlessNode(max_requesters=2)
+    receive(node.client(), call_back_message("done"))  # an executor's is not one of them
+    clients = []
+    for number in range(4):
+        clients.append(receive(node.client(), request(number)))
+        if number != 1:
+            node.desk.do(NOW, Fail(b"r%d" % number))
+        node.run()
+    assert [client.transport.closing for client in clients] == [True, False, True, False]
+
+
+def test_a_peer_that_never_sends_anything_valid_gets_a_408_within_three_seconds():
+    """Peers send a part of a message, or nothing, and keep their connections.
+
+    They got a response only after the longest client timeout, the silent ones never.
+    """
+    node = SocketlessNode()
+    slow = receive(node.client(), REQUEST[:-1])
+    silent = node.client()
+    waiting = node.send_request()
+    proven = node.client()
+    receive(proven, request(2))
+    node.act(Fail(b"r2"))
+    receive(proven, REQUEST[:-1])
+    clients = (slow, silent, waiting, proven)
+    for after, expected in ((20_000, []), (22_500, [slow, silent]), (70_000, [slow, silent, proven])):
+        node.listener.close_overdue(NOW + after)
+        node.run()
+        refused = [client for client in clients if client.transport.written.count(b"HTTP/1.1 408") == 1]
+        assert refused == expected
+        assert not waiting.transport.closing
+        assert not proven.transport.closing or proven in expected
+
+
+def test_a_huge_body_is_not_read_to_its_end():
+    """A client writes a huge body that was refused by its announced length.
+
+    Reading all of it would take the node's time from others: reading pauses after a while.
+    """
+    node = SocketlessNode()
+    paused = []
+    client = node.send_request(REQUEST.replace(b"Length: 3", b"Length: 60000000"))
+    client.transport.pause_reading = lambda: paused.append(client.bytes_discarded)
+    receive(client, b"x" * 300_000, 8_000)
+    assert paused and (1 << 18) < paused[0] < 280_000
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -2,8 +2,9 @@
 
 import orjson
 import pytest
-from helpers import HAND_IN, NOW, floor, pull, say
+from helpers import pull
 from node_harness import SETTINGS
+from socketless_node import NOW, REQUEST, SocketlessNode, receive
 
 from grebedyke.model.actions import Forward, Throttle
 from grebedyke.model.endpoint_list import EndpointRow
@@ -29,35 +30,37 @@
 )
 def test_an_operation_is_found_by_whatever_name_the_settings_give_it(name, path, header):
     # Names were read as Latin-1: every invocation of such an operation was answered 404.
-    node = floor()
-    node.door.apply_settings(ListenerSettings({name: 40_000}, 60_000))
-    head = HAND_IN.replace(b"/op/", b"/" + path + b"/")
+    node = SocketlessNode()
+    node.listener.apply_settings(ListenerSettings({name: 40_000}, 60_000))
+    head = REQUEST.replace(b"/op/", b"/" + path + b"/")
     if header:
         head = head.replace(b"X-Timeout", b"X-Priority-Class: " + header + b"\r\nX-Timeout")
-    say(node.client(), head.replace(b"X-Timeout", b"X-Tenant-Id: M\xc3\xa1tra\r\nX-Timeout"))
-    node.loop.go()
-    assert [x[2:4] for x in node.told.heard if x[0] == "taken"] == [(name, "Mátra")]
+    receive(node.client(), head.replace(b"X-Timeout", b"X-Tenant-Id: M\xc3\xa1tra\r\nX-Timeout"))
+    node.run()
+    assert [(x.operation, x.tenant) for x in node.dispatcher.events if isinstance(x, RequestArrived)] == [
+        (name, "Mátra")
+    ]
     node.forward()
-    assert node.lines[0].transport.written.startswith(b"POST /" + path + b"/k?q=1 HTTP/1.1\r\n")
+    assert node.connections[0].transport.written.startswith(b"POST /" + path + b"/k?q=1 HTTP/1.1\r\n")
 
 
 @pytest.mark.parametrize("odd", (b"\n", b"\r", b"\0", b"\t", b"\x7f", b"\x1b"))
 def test_control_bytes_in_a_target_do_not_reach_an_executors_line(odd):
-    node = floor()
-    client = say(node.client(), HAND_IN.replace(b"/op/k", b"/op/k" + odd + b"X:y"))
-    node.loop.go()
+    node = SocketlessNode()
+    client = receive(node.client(), REQUEST.replace(b"/op/k", b"/op/k" + odd + b"X:y"))
+    node.run()
     assert client.transport.written.startswith(b"HTTP/1.1 400") and not node.desk.owed
 
 
 def test_clients_that_go_on_with_a_longer_time_are_taken_and_answered_by_the_shorter():
     # After a reload that shortened it they were answered 400, an error, until they had heard of it.
-    node = floor()
-    node.door.apply_settings(ListenerSettings({"op": 20_000}, 60_000))
+    node = SocketlessNode()
+    node.listener.apply_settings(ListenerSettings({"op": 20_000}, 60_000))
     for wait, taken in ((4000, True), (4001, False), (2000, True), (1500, True)):
-        node.told.heard.clear()
-        client = say(node.client(), HAND_IN.replace(b"r1", b"r%d" % wait).replace(b"4000", b"%d" % wait))
-        node.loop.go()
-        assert [x[4] for x in node.told.heard if x[0] == "taken"] == (
+        node.dispatcher.events.clear()
+        client = receive(node.client(), REQUEST.replace(b"r1", b"r%d" % wait).replace(b"4000", b"%d" % wait))
+        node.run()
+        assert [x.deadline for x in node.dispatcher.events if isinstance(x, RequestArrived)] == (
             [NOW + min(wait * 10, 20_000) - node.desk.margin] if taken else []
         ), wait
         assert client.transport.written.startswith(b"HTTP/1.1 400") == (not taken)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,5 @@
-from helpers import HAND_IN, NOW, dispatcher, floor, join, pull, rows, say
+from helpers import dispatcher, pull, rows
+from socketless_node import NOW, REQUEST, SocketlessNode, connect, receive
 
 from grebedyke.model.actions import Forward
 from grebedyke.model.outcome import Outcome
@@ -7,12 +8,12 @@
 
 def desk_of(most=9):
     """A console before executors s-1 and s-2, of which a real dispatcher keeps the books."""
-    node = floor()
+    node = SocketlessNode()
     node.desk.dispatcher = dispatcher()
     node.desk.dispatcher.listed(NOW, True, rows("s-1", "s-2"))
     node.phase = [True]
     node.console = Console(node.turn, lambda: node.phase[0], node.desk.by_hand, most)
-    node.call = lambda text, step=None: (say(join(Caller(node.console)), text, step), node.loop.go())[
+    node.call = lambda text, step=None: (receive(connect(Caller(node.console)), text, step), node.run())[
         0
     ].transport
     return node
@@ -50,14 +51,14 @@
             transport = node.call(call, step)
             assert transport.written.startswith(b"HTTP/1.1 %d " % status), call
             assert transport.written.count(b"HTTP/") == 1, call
-            assert transport.closing or transport.eof
+            assert transport.closing or transport.ended_sending
     fleet = node.desk.dispatcher.endpoints
     assert [e.id for e in fleet.healthy] == ["s-1"] and [*fleet.banned] == ["s-2"]
 
 
 def test_callers_that_say_nothing_keep_no_other_from_its_answer():
     node = desk_of(most=3)
-    halves = [say(join(Caller(node.console)), text) for text in (b"", b"GET /v1/rea", b"POST")]
+    halves = [receive(connect(Caller(node.console)), text) for text in (b"", b"GET /v1/rea", b"POST")]
     assert node.call(b"GET /v1/readyz HTTP/1.1\r\n\r\n").written.startswith(b"HTTP/1.1 200")
     assert [caller.transport.closing for caller in halves] == [True, False, False]
     # Half a call that its peer ends, and one that nobody ends.
@@ -68,9 +69,9 @@
             call(when, *args)
     assert halves[2].transport.closing
     # Whoever ends its own side after a whole call waits for the answer.
-    caller = say(join(Caller(node.console)), post(b"s-1/suspend"))
+    caller = receive(connect(Caller(node.console)), post(b"s-1/suspend"))
     assert caller.eof_received() and not caller.transport.written
-    node.loop.go()
+    node.run()
     assert caller.transport.written.startswith(b"HTTP/1.1 200")
 
 
@@ -132,18 +133,22 @@
 
 
 def test_a_forward_that_still_connects_does_not_reach_who_was_taken_out():
-    node = floor()
+    node = SocketlessNode()
     node.pool.endpoints["s-1"].idle.clear()
-    node.hand_in()
+    node.send_request()
     node.forward()
     call = node.desk.owed[b"r1"].flights[0].call
     node.desk.by_hand(NOW, "s-2", True)
     assert not call.ended
     node.desk.by_hand(NOW, "s-1", True)
-    assert call.ended and node.ends() == [("ended", b"r1", 0, Outcome.NEVER_SENT, False)]
+    assert call.ended and node.attempt_ends() == [(b"r1", 0, Outcome.NEVER_SENT, False)]
     # One that is with the kernel has begun there, and is let alone.
-    node = floor()
-    node.hand_in()
+    node = SocketlessNode()
+    node.send_request()
     node.forward()
     node.desk.by_hand(NOW, "s-1", True)
-    assert HAND_IN.endswith(b"abc") and node.lines[0].transport.written.endswith(b"abc") and not node.ends()
+    assert (
+        REQUEST.endswith(b"abc")
+        and node.connections[0].transport.written.endswith(b"abc")
+        and not node.attempt_ends()
+    )
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -10,7 +10,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import HAND_IN, dispatcher, floor, news, say
+from helpers import dispatcher
 from node_harness import (
     ACCEPTED,
     LISTED_EXECUTOR,
@@ -22,6 +22,7 @@
     free_port,
     until,
 )
+from socketless_node import REQUEST, SocketlessNode, call_back_message, receive
 from test_signals import program, told
 
 from grebedyke.model.endpoint_list import EndpointRow
@@ -285,7 +286,7 @@
         for _ in range(10):
             with suppress(OSError, asyncio.IncompleteReadError):
                 reader, writer = await asyncio.open_connection(*self.listener)
-                writer.write(news("done", self.name, request_id))
+                writer.write(call_back_message("done", self.name, request_id))
                 try:
                     await reader.readuntil(b"\r\n\r\n")
                     return
@@ -328,15 +329,15 @@
     the same, and the request must be taken; only where all wait for responses is it turned away.
     """
     for open_requests, is_taken in ((0, True), (6, False)):
-        node_without_sockets = floor(most=4)
-        crowd = [node_without_sockets.client() for _ in range(6)]
+        socketless = SocketlessNode(max_connections=4)
+        crowd = [socketless.client() for _ in range(6)]
         for number, connection in enumerate(crowd[:open_requests]):
             connection.over_limit = False
-            say(connection, HAND_IN.replace(b"r1", b"o%d" % number))
-        client = node_without_sockets.client()
+            receive(connection, REQUEST.replace(b"r1", b"o%d" % number))
+        client = socketless.client()
         assert client.over_limit
-        say(client, HAND_IN)
-        node_without_sockets.loop.go()
+        receive(client, REQUEST)
+        socketless.run()
         assert (client.open_request is not None) == is_taken, open_requests
         assert (b" 503 " in client.transport.written) != is_taken
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -7,8 +7,18 @@
 
 import orjson
 import pytest
-from helpers import HAND_IN, NOW, Loop, Told, floor, join, news, say, still
 from loguru import logger
+from socketless_node import (
+    NOW,
+    REQUEST,
+    CallRecorder,
+    FakeEventLoop,
+    SocketlessNode,
+    call_back_message,
+    connect,
+    frozen_batches,
+    receive,
+)
 
 from grebedyke.checks import checked
 from grebedyke.model.endpoint_list import EndpointRow
@@ -203,18 +213,18 @@
             await asyncio.sleep(0.01)
         assert b" 200 " in await ask(address, b"GET /up HTTP/1.1\r\n\r\n")
         kept = await asyncio.open_connection(*address)
-        owed = asyncio.create_task(ask(address, HAND_IN, kept))
+        owed = asyncio.create_task(ask(address, REQUEST, kept))
         assert (await executor.seen.get()).startswith(b"POST /op/k?q=1 ")
         work.stop()
         assert b" 503 " in await ask(address, b"GET /up HTTP/1.1\r\n\r\n")
         if calls_back:
-            assert b" 204 " in await ask(address, news("done", more=',"result":"x"'))
+            assert b" 204 " in await ask(address, call_back_message("done", more=',"result":"x"'))
             # A node's clients may have no other node: what they have open serves until shortly before the
             # end.
             answer, _ = await owed, await asyncio.sleep(0.7)
-            second = asyncio.create_task(ask(address, HAND_IN.replace(b"r1", b"r2"), kept))
+            second = asyncio.create_task(ask(address, REQUEST.replace(b"r1", b"r2"), kept))
             await asyncio.wait_for(executor.seen.get(), 2)
-            assert b" 204 " in await ask(address, news("done", id="r2"))
+            assert b" 204 " in await ask(address, call_back_message("done", request_id="r2"))
             assert b" 200 " in await second
         answer = answer if calls_back else await owed
         await asyncio.wait_for(serving, 5)
@@ -232,7 +242,7 @@
 def test_words_come_from_named_nodes_only_and_may_be_odd(tmp_path):
     async def story():
         loop, heard = asyncio.get_running_loop(), []
-        turn = still(Loop())
+        turn = frozen_batches(FakeEventLoop())
         turn.put = lambda call, *args: call(NOW, *args)
         nodes = [PeerSocket(loop, turn, lambda now, *args: heard.append(args)) for _ in range(3)]
         addresses = [("127.0.0.1", free_port()) for _ in nodes]
@@ -256,7 +266,7 @@
         loop, port = asyncio.get_running_loop(), free_port()
         holder = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         holder.bind(("127.0.0.1", port))
-        peers = PeerSocket(loop, still(Loop()), None)
+        peers = PeerSocket(loop, frozen_batches(FakeEventLoop()), None)
         if moves:
             peers.set_peers([("127.0.0.1", free_port())], 0)  # is still being opened when it moves on
         peers.set_peers([("127.0.0.1", port)], 0)
@@ -284,7 +294,7 @@
 
 
 def test_what_a_turn_gives_rise_to_waits_for_the_next():
-    loop, seen = Loop(), []
+    loop, seen = FakeEventLoop(), []
     turn = Turn(loop, Gauges())
     decisions = [("a",), None, ("b",), None]
     turn.decide = lambda now: decisions.pop(0) if decisions else None
@@ -293,26 +303,26 @@
     turn.put(lambda now: seen.append("second"))
     loop.ready.pop(0)()
     assert seen == ["first", "second", "a"] and len(loop.ready) == 1
-    loop.go()
+    loop.run_ready()
     assert seen == ["first", "second", "a", "input", "b", "input"]
 
 
 def test_limits_fire_in_order_after_the_inputs():
     # An end that is here already goes before the forward's time limit, as after a stall.
-    loop, seen = Loop(), []
+    loop, seen = FakeEventLoop(), []
     turn = Turn(loop, Gauges())
     turn.decide = lambda now: None
     for at in (3, 1, 2):
         turn.at(at, lambda now, at=at: seen.append(at))
     turn.put(lambda now: seen.append("input"))
-    loop.go()
+    loop.run_ready()
     assert seen == ["input", 1, 2, 3]
 
 
 def lists(*answers, again=10_000, quick=False):
     """A watch that is given these answers; what it tells and asks."""
-    loop, told_ = Loop(), Told()
-    turn = still(loop)
+    loop, told_ = FakeEventLoop(), CallRecorder()
+    turn = frozen_batches(loop)
     turn.decide = lambda now: None
     watch = DiscoveryClient(
         loop,
@@ -323,18 +333,18 @@
         on_list=told_.listed,
         on_failure=told_.unlisted,
     )
-    watch.connection = join(DiscoveryConnection(watch))
+    watch.connection = connect(DiscoveryConnection(watch))
     watch.poll()
     transport = watch.connection.transport
     for answer in answers:
         watch.poll_started -= 0 if quick else 50_000
         body = orjson.dumps(answer) if isinstance(answer, dict) else answer
-        say(watch.connection, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body, 11)
-        loop.go()
+        receive(watch.connection, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body, 11)
+        loop.run_ready()
         if watch.connection is None or transport.closing:
             break
-    loop.go()
-    return watch, told_.heard, transport.written
+    loop.run_ready()
+    return watch, told_.calls, transport.written
 
 
 def test_a_watch_follows_at_once_and_tells_changes_from_whole_lists():
@@ -357,7 +367,7 @@
         assert asked.count(b"GET ") == asks
         if asks == 1:
             next(call for _, _, call, _ in watch.batch.limits if call == watch.poll)(0)
-            watch.loop.go()
+            watch.loop.run_ready()
             assert watch.connection.transport.written.count(b"GET ") == 2
 
 
@@ -400,7 +410,7 @@
     # What is older is not applied; the next ask is for the whole list, which is taken whatever its version.
     assert watch.version is None and not watch.polling
     next(call for _, _, call, _ in watch.batch.limits if call == watch.poll)(0)
-    watch.loop.go()
+    watch.loop.run_ready()
     asked = b"GET /discovery/hosts HTTP/1.1\r\nHost: 127.0.0.1:1\r\n\r\n"
     assert watch.connection.transport.written.endswith(asked)
 
@@ -414,7 +424,7 @@
             watch.poll_timed_out(0, watch.poll_number)
         else:
             watch.connection.connection_lost(None)
-        watch.loop.go()
+        watch.loop.run_ready()
         assert not watch.polling and watch.connection is None
         again = [x for x in watch.batch.limits if x[2] == watch.poll]
         assert len(again) == 1  # a push site's node goes on asking by itself
@@ -428,15 +438,15 @@
     assert watch.connection is old  # the same address: nothing to do
     watch.move("127.0.0.2", 2)
     watch.poll_timed_out(0, 1)
-    say(
+    receive(
         old, b"HTTP/1.1 200 OK\r\nContent-Length: 41\r\n\r\n" + b'{"index":99,"snapshot":true,"endpoints":[]}'
     )
     old.connection_lost(None)
-    watch.loop.go()
+    watch.loop.run_ready()
     assert old.transport.closing and watch.polling and not heard and watch.version is None
-    watch.connection = join(DiscoveryConnection(watch))
+    watch.connection = connect(DiscoveryConnection(watch))
     watch.send_poll()
-    watch.loop.go()
+    watch.loop.run_ready()
     assert watch.connection.transport.written.startswith(
         b"GET /discovery/hosts HTTP/1.1\r\nHost: 127.0.0.2:2\r\n"
     )
@@ -444,8 +454,8 @@
 
 def test_a_connect_of_the_old_watch_does_not_end_the_new_one(monkeypatch):
     async def story(refused):
-        loop, told_, opened = asyncio.get_running_loop(), Told(), []
-        turn = still(Loop())
+        loop, told_, opened = asyncio.get_running_loop(), CallRecorder(), []
+        turn = frozen_batches(FakeEventLoop())
         watch = DiscoveryClient(
             loop,
             turn,
@@ -456,16 +466,16 @@
             on_failure=told_.unlisted,
         )
 
-        async def connect(make, host, port):
+        async def create_connection(make, host, port):
             opened.append(port)
             if port == 1:
                 await asyncio.sleep(0.01)
                 if refused:
                     raise OSError
-            agent = join(make())
+            agent = connect(make())
             return agent.transport, agent
 
-        monkeypatch.setattr(loop, "create_connection", connect)
+        monkeypatch.setattr(loop, "create_connection", create_connection)
         watch.poll()
         await asyncio.sleep(0)
         late, watch.connect_task = watch.connect_task, None  # as if it were past being cancelled
@@ -510,14 +520,14 @@
 
 
 def test_a_restart_is_told_on_the_modules_clock():
-    place = floor()
+    place = SocketlessNode()
     place.desk.shift = -5_000
     place.desk.listed(
         0,
         True,
         [ListedEndpoint("s-1", ("127.0.0.1", 9), "a", "m", 0, "healthy", since, 1) for since in (0, 700)],
     )
-    assert [row[5] for row in place.told.heard[0][2]] == [0, 2_000]
+    assert [row.started_at for row in place.dispatcher.events[0].rows] == [0, 2_000]
 
 
 class Worker(Executor):
@@ -541,7 +551,7 @@
     async def run(self, id):
         async with self.room:
             for state, more in (("started", ""), ("done", ',"result":"x","load":{"x0":1}')):
-                await ask(self.nodes[id[0]], news(state, self.name, id, more))
+                await ask(self.nodes[id[0]], call_back_message(state, self.name, id, more))
                 await asyncio.sleep(0.1 if state == "started" else 0)
 
 
