--- a/grebedyke/model/attempt.py
+++ b/grebedyke/model/attempt.py
@@ -2,7 +2,7 @@
 
 
 class Attempt:
-    """One sending of a request to an endpoint; creating it books it there.
+    """One sending of a request to an endpoint; creating it counts it there.
 
     Attributes:
         request: The request that was sent.
@@ -75,7 +75,7 @@
         self.endpoint_load = endpoint.slots_in_use
 
     def end(self, never_ran):
-        """Takes it out of the books of its endpoint and its request."""
+        """Takes it out of the counts of its endpoint and its request."""
         self.ended = True
         self.never_ran = never_ran
         del self.endpoint.in_flight[self.request.id, self.index]
--- a/grebedyke/model/request.py
+++ b/grebedyke/model/request.py
@@ -73,7 +73,7 @@
     probed_endpoints: list = field(default_factory=list)
     probing_other_zones: bool = False
     slot_request_number: int | None = None
-    tried_groups: set = ()
+    tried_groups: set = frozenset()
     asked_group: tuple | None = None
     placement_group: tuple | None = None
     reservation: Reservation | None = None
