--- a/tests/departure_scene.py
+++ b/tests/departure_scene.py
@@ -5,7 +5,8 @@
 import threading
 import time
 
-from node_harness import ACCEPTED, LISTED_EXECUTOR, SETTINGS, BlockingClient, NodeHarness, until
+from emulators import ACCEPTED, LISTED_EXECUTOR, BlockingClient, until
+from node_harness import SETTINGS, NodeHarness
 
 from grebedyke.wire.executor_connection import ExecutorConnection
 
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -5,7 +5,8 @@
 
 import pytest
 from departure_scene import DepartureScene
-from node_harness import BlockingClient, ExecutorEmulator, NodeHarness, until
+from emulators import BlockingClient, ExecutorEmulator, until
+from node_harness import NodeHarness
 
 
 def test_small_writes_are_delayed_on_no_kind_of_connection():
--- /dev/null
+++ b/tests/test_crowd.py
@@ -0,0 +1,225 @@
+"""Crowds of clients that are silent or idle, and what they leave of a node's descriptors."""
+
+import asyncio
+import resource
+import time
+from contextlib import suppress
+
+import pytest
+from emulators import (
+    ACCEPTED,
+    BlockingClient,
+    DiscoveryEmulator,
+    ExecutorEmulator,
+    free_port,
+    until,
+)
+from socketless_node import REQUEST, SocketlessNode, call_back_message, receive
+from test_signals import program, told
+
+# Seconds within which a change of the endpoint list counts as known to the node.
+KNOWN_AFTER = 6.0
+
+
+class FinishingExecutor(ExecutorEmulator):
+    """Reports success of each job at once.
+
+    Attributes:
+        listener: Host and port of the node's client listener.
+    """
+
+    def __init__(self, name, listener):
+        super().__init__(name)
+        self.listener = listener
+        self.tasks = set()
+        self.respond = self.accept_and_finish
+
+    def accept_and_finish(self, line, headers):
+        if line.startswith(b"POST"):
+            task = asyncio.create_task(self.call_back(headers[b"x-request-id"].decode()))
+            self.tasks.add(task)
+            task.add_done_callback(self.tasks.discard)
+        return ACCEPTED
+
+    async def call_back(self, request_id):
+        # An executor repeats a call-back until it is answered.
+        for _ in range(10):
+            with suppress(OSError, asyncio.IncompleteReadError):
+                reader, writer = await asyncio.open_connection(*self.listener)
+                writer.write(call_back_message("done", self.name, request_id))
+                try:
+                    await reader.readuntil(b"\r\n\r\n")
+                    return
+                finally:
+                    writer.close()
+
+
+async def succeeds(listener, request_id, open_writers):
+    """Returns whether a request is answered by an executor's result; its connections stay open.
+
+    In a crowd one may be told to come again, or be closed unread: as clients do, it comes again, four times.
+    """
+    for retry in range(5):
+        with suppress(asyncio.IncompleteReadError, OSError):
+            reader, writer = await asyncio.open_connection(*listener)
+            open_writers.append(writer)
+            writer.write(BlockingClient.request_head(f"{request_id}-{retry}", 0))
+            if (await reader.readuntil(b"\r\n\r\n"))[9:12] == b"200":
+                return True
+    return False
+
+
+async def connect_and_idle(listener, connected):
+    """Acts as one of a crowd: connects, sends nothing, and comes again when it is closed."""
+    while True:
+        with suppress(OSError):
+            reader, writer = await asyncio.open_connection(*listener)
+            connected.append(writer)
+            try:
+                await reader.read()
+            finally:
+                writer.close()
+        await asyncio.sleep(0.5)
+
+
+def test_a_silent_crowd_turns_no_request_away():
+    """A crowd connects and sends nothing, and then a client with a request connects.
+
+    All of the crowd is new, so none of it can be closed when the client connects. Its connection is there all
+    the same, and the request must be taken; only where all wait for responses is it turned away.
+    """
+    for open_requests, is_taken in ((0, True), (6, False)):
+        socketless = SocketlessNode(max_connections=4)
+        crowd = [socketless.client() for _ in range(6)]
+        for number, connection in enumerate(crowd[:open_requests]):
+            connection.over_limit = False
+            receive(connection, REQUEST.replace(b"r1", b"o%d" % number))
+        client = socketless.client()
+        assert client.over_limit
+        receive(client, REQUEST)
+        socketless.run()
+        assert (client.open_request is not None) == is_taken, open_requests
+        assert (b" 503 " in client.transport.written) != is_taken
+
+
+class CrowdedNode:
+    """A node's process with few descriptors, all shares of which are drawn on while discovery is down.
+
+    Attributes:
+        listener: Host and port of the client listener.
+        discovery_port: Port on which discovery is back after a while.
+        discovery: The `DiscoveryEmulator`, which reports half of the executors as draining.
+        draining: The executors that begin to drain while discovery is down.
+        healthy: The other executors.
+        open_writers: Connections of clients that had a response and stay.
+        crowd: Tasks of clients that send nothing.
+        log_lines: What the node logs.
+    """
+
+    def __init__(self, descriptors):
+        self.descriptors = descriptors
+        # An address of its own: the executors' servers and connects draw their ports on the common one.
+        self.listener = f"127.2.0.{descriptors % 255}", free_port()
+        self.discovery_port = free_port()
+        self.discovery = DiscoveryEmulator()
+        self.discovery.on_poll = self.answer_poll
+        self.draining = []
+        self.healthy = []
+        self.open_writers = []
+        self.connected = []
+        self.crowd = []
+        self.log_lines = []
+
+    async def answer_poll(self, target, writer):
+        if "after=9" not in target:
+            rows = [executor.row(status="Terminating") for executor in self.draining]
+            self.discovery.answer(9, *rows, writer=writer)
+
+    async def start(self, folder):
+        # More executors than there are connections for.
+        executors = [
+            await FinishingExecutor(f"s-{number}", self.listener).start()
+            for number in range(self.descriptors // 3)
+        ]
+        self.draining = executors[::2]
+        self.healthy = executors[1::2]
+        node_file = told(
+            discovery=f"{self.listener[0]}:{self.discovery_port}",
+            listen="%s:%d" % self.listener,
+            limits={"sockets": self.descriptors},
+        )
+        node_file["known"] = {"index": 1, "endpoints": [executor.row() for executor in executors]}
+        limit = resource.RLIMIT_NOFILE, (self.descriptors, self.descriptors)
+        self.process, _ = program(folder, node_file, preexec_fn=lambda: resource.setrlimit(*limit))
+        self.reading = asyncio.create_task(
+            asyncio.to_thread(lambda: self.log_lines.extend(self.process.stderr))
+        )
+        await until(lambda: any("-> serving" in line for line in self.log_lines), "serving")
+
+    async def use_all_shares(self):
+        """Draws on the shares of connections to executors, of clients that stay, and of a silent crowd."""
+        for first in range(0, self.descriptors, 8):
+            requests = [succeeds(self.listener, f"a{first + i}", self.open_writers) for i in range(8)]
+            await asyncio.gather(*requests)
+        for _ in range(2 * self.descriptors):
+            self.crowd.append(asyncio.create_task(connect_and_idle(self.listener, self.connected)))
+        await until(lambda: len(self.connected) >= 2 * self.descriptors, "the crowd")
+
+    async def seconds_until_list_is_known(self):
+        """Returns how long after discovery's return the node has its list."""
+        discovery = self.discovery
+        discovery.server = await asyncio.start_server(
+            discovery.serve_connection, self.listener[0], self.discovery_port
+        )
+        start = time.monotonic()
+        await until(lambda: any("after=9" in target for target in discovery.polls), "the list")
+        return time.monotonic() - start
+
+    async def close(self):
+        for task in self.crowd:
+            task.cancel()
+        await asyncio.gather(*self.crowd, return_exceptions=True)
+        self.process.kill()
+        await asyncio.to_thread(self.process.wait)
+        await self.reading
+        self.process.stderr.close()
+        for writer in self.open_writers:
+            writer.close()
+        for server in (*self.draining, *self.healthy, self.discovery):
+            if hasattr(server, "server"):
+                server.server.close()
+
+
+def received_by(executors):
+    return sum(len(executor.received) for executor in executors)
+
+
+@pytest.mark.parametrize("descriptors", (256, 128, 64, 32))
+def test_idle_clients_leave_descriptors_for_discovery_and_attempts(tmp_path, descriptors):
+    """Idle clients and a silent crowd take up all that a node of few descriptors gives to clients.
+
+    With discovery down and back the node must still hear that half of its executors drain, and must send new
+    requests to the others.
+    """
+
+    async def story():
+        crowded = CrowdedNode(descriptors)
+        await crowded.start(tmp_path)
+        try:
+            await crowded.use_all_shares()
+            seconds = await crowded.seconds_until_list_is_known()
+            to_healthy = received_by(crowded.healthy)
+            to_draining = received_by(crowded.draining)
+            done = [await succeeds(crowded.listener, f"b{i}", crowded.open_writers) for i in range(20)]
+            to_healthy = received_by(crowded.healthy) - to_healthy
+            to_draining = received_by(crowded.draining) - to_draining
+            faults = sum("accept" in line or "loop-fault" in line for line in crowded.log_lines)
+            print(
+                f"{descriptors} descriptors: known after {seconds:.2f} s, {sum(done)} of 20 done, "
+                f"{to_draining} to draining executors, {faults} log lines of want"
+            )
+            return seconds < KNOWN_AFTER, all(done), to_healthy >= 20, to_draining, faults
+        finally:
+            await crowded.close()
+
+    assert asyncio.run(story()) == (True, True, True, 0, 0)
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -2,7 +2,8 @@
 
 import asyncio
 
-from node_harness import SETTINGS, BlockingClient, DiscoveryEmulator, ExecutorEmulator, NodeHarness, until
+from emulators import BlockingClient, DiscoveryEmulator, ExecutorEmulator, until
+from node_harness import SETTINGS, NodeHarness
 
 from grebedyke.model.actions import Cancel
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -10,7 +10,7 @@
 
 import pytest
 from departure_scene import GRACE, PAST_GRACE, DepartureScene
-from node_harness import ACCEPTED, BlockingClient, until
+from emulators import ACCEPTED, BlockingClient, until
 
 from grebedyke.model.actions import Forward
 from grebedyke.model.peer_messages import SlotGrant, SlotRequest
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -5,7 +5,8 @@
 import time
 
 import pytest
-from node_harness import SMALL_BUFFER, BlockingClient, ExecutorEmulator, NodeHarness, until
+from emulators import SMALL_BUFFER, BlockingClient, ExecutorEmulator, until
+from node_harness import NodeHarness
 
 from grebedyke.model.actions import Forward, Throttle
 from grebedyke.model.events import ClientLeft
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -3,15 +3,8 @@
 import asyncio
 
 import pytest
-from node_harness import (
-    ACCEPTED,
-    BlockingClient,
-    DiscoveryEmulator,
-    ExecutorEmulator,
-    NodeHarness,
-    port_of,
-    until,
-)
+from emulators import ACCEPTED, BlockingClient, DiscoveryEmulator, ExecutorEmulator, port_of, until
+from node_harness import NodeHarness
 
 from grebedyke.wire.endpoint_rows import ListedEndpoint
 from grebedyke.wire.executor_connection import CallResult
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -11,15 +11,8 @@
 
 import orjson
 import pytest
-from node_harness import (
-    SETTINGS,
-    BlockingClient,
-    DiscoveryEmulator,
-    ExecutorEmulator,
-    NodeHarness,
-    free_port,
-    until,
-)
+from emulators import BlockingClient, DiscoveryEmulator, ExecutorEmulator, free_port, until
+from node_harness import SETTINGS, NodeHarness
 
 from grebedyke.service import node
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -2,7 +2,8 @@
 
 import asyncio
 
-from node_harness import BlockingClient, ExecutorEmulator, NodeHarness, until
+from emulators import BlockingClient, ExecutorEmulator, until
+from node_harness import NodeHarness
 
 
 def test_an_heir_that_dies_at_once_leaves_the_old_process_with_its_call_backs(tmp_path):
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -5,15 +5,8 @@
 
 import orjson
 import pytest
-from node_harness import (
-    SETTINGS,
-    BlockingClient,
-    DiscoveryEmulator,
-    ExecutorEmulator,
-    NodeHarness,
-    port_of,
-    until,
-)
+from emulators import BlockingClient, DiscoveryEmulator, ExecutorEmulator, port_of, until
+from node_harness import SETTINGS, NodeHarness
 
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import parts_of
