--- a/grebedyke/wire/connection_table.py
+++ b/grebedyke/wire/connection_table.py
@@ -4,15 +4,15 @@
 
 from grebedyke.units import TICKS_PER_MILLISECOND
 
-# Descriptors for connections beyond those that are told to come again later, in the time until they close.
+# Descriptors for connections beyond those that are turned away, in the time until those close.
 SPARE_CONNECTIONS = 6
 # At the limit, a message that is incomplete for so many ticks costs its connection: an honest peer has
 # written the whole of it by then.
 INCOMPLETE_LIMIT = 300 * TICKS_PER_MILLISECOND
 # A connection that was set up at least so many ticks ago has been read: it may be closed as silent.
 UNREAD_TIME = 30 * TICKS_PER_MILLISECOND
-# Ticks that a connection has for its first valid message; checked each quarter of a second, so that a silent
-# peer is told of it within 2.5 s.
+# Ticks that a connection has for its first valid message. It is checked each quarter of a second, so a silent
+# peer gets its 408 within 2.5 s.
 FIRST_MESSAGE_LIMIT = 2_200 * TICKS_PER_MILLISECOND
 
 
@@ -20,7 +20,7 @@
     """The client listener's share of the node's descriptors.
 
     Attributes:
-        max_connections: Connections that are served; a sixteenth more are accepted, to be told to come again.
+        max_connections: Connections that are served; a sixteenth more are accepted and answered 503.
         max_requesters: Connections that may stay open between two requests.
     """
 
--- a/grebedyke/wire/discovery_client.py
+++ b/grebedyke/wire/discovery_client.py
@@ -17,7 +17,7 @@
 POLL_PAUSE = 100 * TICKS_PER_MILLISECOND
 # Ticks for which the answer to a poll that was given up is still taken.
 LATE_ANSWER_TIME = TICKS_PER_SECOND
-# A whole list may be far larger than a job's body.
+# A complete list may be far larger than a job's body.
 MAX_LIST_BYTES = 16 << 20
 # The delay after failures is doubled at most so often.
 MAX_DOUBLINGS = 8
@@ -73,7 +73,7 @@
 
 
 class DiscoveryClient:
-    """Polls discovery for changes of the endpoint list, and for the whole list where versions do not fit.
+    """Polls discovery for changes of the endpoint list, and for the complete list where versions do not fit.
 
     The first poll, and those after a failure, wait for nothing: discovery says at once what it has, and what
     it has counts as known from a process's first moment and from discovery's return on.
@@ -82,10 +82,10 @@
         loop: The event loop.
         batch: The node's batches: time, timers and inputs.
         address: Host and port of discovery.
-        version: Version of the list that this node has, None to ask for the whole list.
+        version: Version of the list that this node has, None to ask for the complete list.
         settings: The `DiscoverySettings` in force.
-        on_list: Input of the next batch: called with the time, whether the rows are the whole list, and the
-            list of `ListedEndpoint`.
+        on_list: Input of the next batch: called with the time, whether the rows are the complete list, and
+            the list of `ListedEndpoint`.
         on_failure: Input of the next batch: called with the time after each poll that has failed.
         connection: The connection in use, None if there is none.
         connect_task: The task that opened it, or still does.
@@ -141,7 +141,7 @@
             self.connect_task = self.loop.create_task(self._connect(self.address, self.poll_number))
 
     def _wait(self):
-        # A whole list waits for nothing.
+        # A complete list waits for nothing.
         return 0 if self.version is None or self.skips_wait else self.settings.long_poll_wait
 
     async def _connect(self, address, poll_number):
@@ -164,7 +164,7 @@
             self.poll_failed()
 
     def send_poll(self):
-        """Writes the poll; without a version it asks for the whole list."""
+        """Writes the poll; without a version it asks for the complete list."""
         target = LIST_TARGET
         if self.version is not None:
             target += b"?after=%d&wait_ms=%d" % (self.version, self._wait() // TICKS_PER_MILLISECOND)
@@ -175,7 +175,7 @@
     def move(self, host, port):
         """Follows another discovery from now on; what the old one still says, or fails to say, is ignored.
 
-        The whole list is asked for, since versions of two discoveries need not be comparable.
+        The complete list is asked for, since versions of two discoveries need not be comparable.
         """
         if (host, port) == self.address or self.closed:
             return
@@ -236,7 +236,7 @@
             self.connect_task.cancel()
 
     def _reject_older_version(self, version):
-        """Asks for the whole list: a lagging copy, or a discovery that began anew, lists other changes."""
+        """Asks for the complete list: a lagging copy, or a discovery that began anew, lists other changes."""
         logger.warning(
             "discovery: version {version} after {before}, the whole list is asked for",
             event="list-older",
@@ -268,7 +268,7 @@
         """Gives up a poll that has no answer in time.
 
         The grace may be far under what a busy machine takes to answer. If each such poll were dropped with
-        its connection, a slow discovery would never be heard: of one at a time the answer is still taken.
+        its connection, a slow discovery would never get through: of one at a time the answer is still taken.
         """
         if not self.polling or poll_number != self.poll_number:
             return
--- a/grebedyke/wire/endpoint_rows.py
+++ b/grebedyke/wire/endpoint_rows.py
@@ -102,7 +102,7 @@
 def name_or_none(value):
     """Returns the value unless it is a list or an object.
 
-    Such a value in a name's place would make the whole list fail later, with its version already taken.
+    Such a value in a name's place would make the complete list fail later, with its version already taken.
 
     >>> name_or_none("a"), name_or_none(3), name_or_none(["a"])
     ('a', 3, None)
--- a/grebedyke/wire/executor_pool.py
+++ b/grebedyke/wire/executor_pool.py
@@ -73,7 +73,7 @@
         self.idle = []
 
     def incarnation(self):
-        """Returns what tells one life of the executor from the next: its address and start."""
+        """Returns what identifies this incarnation of the executor: its address and start."""
         return self.address, self.since_ms
 
     def move(self, address, since_ms):
@@ -249,7 +249,7 @@
         """Takes over the endpoint list or a change of it.
 
         Args:
-            is_complete: Whether the rows are the whole list.
+            is_complete: Whether the rows are the complete list.
             rows: An `EndpointAddress` for each executor.
         """
         if is_complete:
--- a/grebedyke/wire/load_reports.py
+++ b/grebedyke/wire/load_reports.py
@@ -12,7 +12,7 @@
     "latency_ms": "lat_ms",
 }
 FREE_SLOTS = "x0"
-WORK_HELD = "rif"
+OUTSTANDING_WORK = "rif"
 # A report beyond this is taken for an error of the executor.
 FREE_SLOTS_LIMIT = 10_000
 
@@ -22,11 +22,11 @@
 
     Attributes:
         free_slots: Slots that are free, as reported.
-        work_held: Requests that it runs or has queued.
+        outstanding_work: Requests that it runs or has queued.
     """
 
     free_slots: float | None
-    work_held: float | None
+    outstanding_work: float | None
 
     def plausible_free_slots(self):
         """Returns the free slots where the figure can be believed, else None.
@@ -61,7 +61,7 @@
     """Reads the text form of a report.
 
     >>> report_from_text("TEXT inflight=3, x0=1.50")
-    LoadReport(free_slots=1.5, work_held=3.0)
+    LoadReport(free_slots=1.5, outstanding_work=3.0)
     """
     return report_from_json(parse_figures(text))
 
@@ -76,4 +76,4 @@
     """
     if not isinstance(value, dict):
         return LoadReport(None, None)
-    return LoadReport(value.get(FREE_SLOTS), value.get(WORK_HELD))
+    return LoadReport(value.get(FREE_SLOTS), value.get(OUTSTANDING_WORK))
