--- a/grebedyke/service/desk.py
+++ b/grebedyke/service/desk.py
@@ -21,15 +21,19 @@
 from grebedyke.model.outcome import Outcome
 from grebedyke.service import log
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire import peer_codec, reports
-from grebedyke.wire.executors import BROKEN, UNSENT
+from grebedyke.wire import peer_codec
+from grebedyke.wire.endpoint_rows import HEALTHY
+from grebedyke.wire.executor_connection import CallResult
+from grebedyke.wire.executor_pool import EndpointAddress
+from grebedyke.wire.load_reports import report_from_json, report_from_text
+from grebedyke.wire.request_headers import JobState
 
 # What the state in a call-back means; one that is not here is news of a job under way.
 ENDS = {
-    "done": Outcome.SUCCEEDED,
-    "failed": Outcome.FAILED,
-    "returned": Outcome.REJECTED,
-    "lost": Outcome.CONNECTION_RESET,
+    JobState.SUCCEEDED: Outcome.SUCCEEDED,
+    JobState.FAILED: Outcome.FAILED,
+    JobState.REJECTED: Outcome.REJECTED,
+    JobState.LOST: Outcome.CONNECTION_RESET,
 }
 
 
@@ -62,24 +66,34 @@
 
     # What comes in.
 
-    def take(self, client, id, operation, tenant, wait, hint, slots, line, body):
+    def take(self, client, incoming):
         """At once, not at the hand-over: the connection must not read its next message meanwhile."""
+        id = incoming.request_id
         if id in self.owed:
-            return client.reply(409, b"this X-Request-ID is under way")
+            return client.respond(409, b"this X-Request-ID is under way")
         now = self.turn.clock()
         # At a stop's end there is no time for a forward: trying elsewhere is harmless, an error final.
         if len(self.owed) >= self.most_open or self.latest and now + 2 * self.tick >= self.latest:
-            return client.reply(503)
-        due = now + max(wait - self.margin, 0)
+            return client.respond(503)
+        due = now + max(incoming.timeout - self.margin, 0)
         # The client timeout has run since the kernel had it, and a node may have stood still since; one that
         # stops has less time still. The module reckons with the client's own time from now: a shorter one
         # looks like a repeat whose slack is used up, and it would give all of them up.
         last = due - (unread := self.turn.unread(now))
         last = min(last, self.latest) if self.latest else last
-        owed = client.owed = self.owed[id] = Owed(id, client, line, body, last, now)
+        line = incoming.method, incoming.target, incoming.idempotency_key
+        owed = client.open_request = self.owed[id] = Owed(id, client, line, incoming.body, last, now)
         self.gauges.count("taken")
-        taken = self.taken, owed, operation, tenant, due, hint, slots
-        if unread or client.new:
+        taken = (
+            self.taken,
+            owed,
+            incoming.operation,
+            incoming.tenant,
+            due,
+            incoming.size_hint,
+            incoming.slots,
+        )
+        if unread or client.awaits_first_request:
             # It may have lain in the kernel, or not accepted yet, and its client's close right behind it.
             return self.turn.put_once_read(client, *taken)
         self.turn.put(*taken)
@@ -98,59 +112,72 @@
             self.dispatcher.handle(now, ClientLeft(owed.id))
             self.settle(now, owed)
 
-    def news(self, now, id, name, state, result, load=None, ours=True):
+    def news(self, now, update, ours=True):
         """The effect comes once: by invocation and executor, and never on a forward that has ended.
 
         `ours`: it came to this process; else another one of this node, on the same address, has passed it on.
         """
-        owed = self.owed.get(id.encode())
+        state = update.state
+        owed = self.owed.get(update.request_id.encode())
         if not owed and ours:
-            self.tell_other("news", id=id, name=name, state=state, result=result.decode(), load=load)
-        flight = owed and next((f for f in owed.flights if not f.done and f.endpoint.name == name), None)
+            self.tell_other(
+                "news",
+                id=update.request_id,
+                name=update.executor,
+                state=state,
+                result=update.result.decode(),
+                load=update.load,
+            )
+        flight = owed and next(
+            (f for f in owed.flights if not f.done and f.endpoint.name == update.executor), None
+        )
         if not flight:
             return
-        if state == "started":
+        if state == JobState.STARTED:
             if not flight.began:
                 flight.began = True
-                event = AttemptStarted(owed.id, flight.n, flight.call.opened)
+                event = AttemptStarted(owed.id, flight.n, flight.call.needed_connect)
                 self.dispatcher.handle(now, event)
         elif state not in ENDS:
             flight.began = True
             self.dispatcher.handle(now, AttemptProgressed(owed.id, flight.n))
-        elif flight.again and state != "done":
+        elif flight.again and state != JobState.SUCCEEDED:
             # It may be told of the earlier forward there: then this one is not known to be over.
             self.give_up(flight, Outcome.CONNECTION_RESET)
         else:
-            self.end(now, flight, ENDS[state], result, reports.free(load))
+            free = report_from_json(update.load).plausible_free_slots()
+            self.end(now, flight, ENDS[state], update.result, free)
 
-    def came(self, flight, how, status, headers, body):
+    def came(self, flight, end):
         if not flight.done:
             self.turn.put(
                 self.answered,
                 flight,
-                how,
-                status,
-                headers.get(b"x-not-processed") == b"1",
-                headers.get(b"x-server-load", b"").decode("latin-1"),
+                end.result,
+                end.status,
+                end.headers.get(b"x-not-processed") == b"1",
+                end.headers.get(b"x-server-load", b"").decode("latin-1"),
             )
 
     def answered(self, now, flight, how, status, unrun, load=""):
         if flight.done:
             return
         # An executor that never took it has no call-backs to make of it.
-        flight.untold = how == UNSENT or how != BROKEN and status != 202
-        if how == UNSENT:
+        flight.untold = how is CallResult.UNSENT or how is not CallResult.BROKEN and status != 202
+        if how is CallResult.UNSENT:
             self.end(now, flight, Outcome.CONNECT_FAILED)
-        elif how == BROKEN:
+        elif how is CallResult.BROKEN:
             self.end(now, flight, Outcome.CONNECTION_RESET)
         elif status == 202:
             flight.accepted = True
         else:
             outcome = Outcome.REJECTED if unrun and status in (503, 504) else Outcome.FAILED
-            self.end(now, flight, outcome, free=reports.free(reports.figures(load)))
+            self.end(now, flight, outcome, free=report_from_text(load).plausible_free_slots())
 
     def listed(self, now, whole, rows):
-        self.pool.listed(whole, [(row[0], row[1], row[5], row[6]) for row in rows])
+        self.pool.update_endpoints(
+            whole, [EndpointAddress(row.name, row.address, row.state, row.since_ms) for row in rows]
+        )
         changed = [
             EndpointRow(name, zone, kind, cell, state, since and since * 10 + self.shift, weight)
             for name, _, zone, kind, cell, state, since, weight in rows
@@ -169,13 +196,16 @@
             "executors": decides.endpoints.record(),
             "budget": decides.retry_budget.export_state(),
             "places": [
-                (e.name, e.address, e.since) for e in self.pool.endpoints.values() if e.listed and e.address
+                (e.name, e.address, e.since_ms)
+                for e in self.pool.endpoints.values()
+                if e.is_listed and e.address
             ],
         }
 
     def recall(self, now, books):
-        self.pool.listed(
-            True, [(name, tuple(place), "healthy", since) for name, place, since in books["places"]]
+        self.pool.update_endpoints(
+            True,
+            [EndpointAddress(name, tuple(place), HEALTHY, since) for name, place, since in books["places"]],
         )
         self.dispatcher.endpoints.restore(now, books["executors"])
         # A process of before this had no such books: what it has sent is unknown.
@@ -199,9 +229,10 @@
     def end(self, now, flight, outcome, result=b"", free=None):
         owed = flight.owed
         flight.end()
-        if flight.call and not flight.call.over:
+        if flight.call and not flight.call.ended:
             # A call-back may come before its 202; an answer that never ends would keep its line for good.
-            self.turn.at(max(now + 1, flight.call.since + self.probe_wait), lambda now: flight.call.drop())
+            last = max(now + 1, flight.call.started_at + self.probe_wait)
+            self.turn.at(last, lambda now: flight.call.abandon())
         if outcome != Outcome.SUCCEEDED:
             self.gauges.count(log.ENDS[outcome])
         if outcome == Outcome.SUCCEEDED and owed.client:
@@ -212,15 +243,15 @@
 
     def reply(self, now, owed, status, outcome, body=b"", headers=""):
         client, owed.client = owed.client, None
-        client.reply(status, body, headers)
-        client.answered()
+        client.respond(status, body, headers)
+        client.request_answered()
         self.gauges.count(outcome)
         self.gauges.wait(now - owed.came)
 
     def take_back(self, now, flight):
         """What has not left this machine, its connection still coming up or its bytes still here."""
-        if flight.call and not (flight.done or flight.call.over or flight.call.sent()):
-            flight.call.drop()
+        if flight.call and not (flight.done or flight.call.ended or flight.call.is_sent()):
+            flight.call.abandon()
             self.end(now, flight, Outcome.NEVER_SENT)
 
     def settle(self, now, owed):
@@ -239,8 +270,8 @@
         end, as a second copy. An end that comes meanwhile counts.
         """
 
-        def heard(how=None, *_):
-            if how == UNSENT and flight.accepted and not flight.done:
+        def heard(end=None):
+            if end and end.result is CallResult.UNSENT and flight.accepted and not flight.done:
                 # It runs there, and nobody has given it up yet: for want of a line, or no connection.
                 self.turn.after(
                     self.probe_wait // 2, lambda now: flight.done or self.give_up(flight, outcome)
@@ -249,15 +280,15 @@
                 self.turn.put(self.given_up, flight, outcome)
 
         def silent(now):
-            if not call.over:
-                call.drop()
+            if not call.ended:
+                call.abandon()
                 heard()
 
-        if flight.accepted or flight.call.over:
+        if flight.accepted or flight.call.ended:
             call = flight.endpoint.call(b"DELETE", b"/jobs/" + flight.owed.id, (), b"", heard)
             self.turn.after(self.probe_wait, silent)
         else:
-            flight.call.drop()
+            flight.call.abandon()
             heard()
 
     def given_up(self, now, flight, outcome):
@@ -271,7 +302,7 @@
                 # A stop or a stall has cut its time: the module, which reckons with the client's own, would
                 # send it again at once, beside a forward that its executor does not know to be given up.
                 return self.overslept(now, flight.owed)
-            unsent = not (flight.accepted or flight.began or flight.call.over or flight.call.sent())
+            unsent = not (flight.accepted or flight.began or flight.call.ended or flight.call.is_sent())
             outcome = Outcome.CONNECT_FAILED if unsent else Outcome.TIMEOUT
             self.give_up(flight, outcome)
             self.end(now, flight, outcome)  # now: there is no time for another, and an answer is due
@@ -280,11 +311,11 @@
         """Neither 202 nor news: a connection may fall silent without an end, and all the forward's time
         with it.
         """
-        if not (flight.done or flight.accepted or flight.began or flight.call.over):
-            outcome = Outcome.CONNECTION_RESET if flight.call.sent() else Outcome.CONNECT_FAILED
+        if not (flight.done or flight.accepted or flight.began or flight.call.ended):
+            outcome = Outcome.CONNECTION_RESET if flight.call.is_sent() else Outcome.CONNECT_FAILED
             # The 202 may be under way, or the line's end slower than the next forward: told by DELETE as
             # well.
-            flight.call.drop()
+            flight.call.abandon()
             self.give_up(flight, outcome)
 
     def overslept(self, now, owed):
@@ -306,7 +337,7 @@
         owed, endpoint = self.owed[id], self.pool.endpoint(name)
         flight = Flight(owed, endpoint)
         # Its close may have been read in this very pass: that it has left is told with the next turn.
-        gone = owed.client is None or owed.client.gone()
+        gone = owed.client is None or owed.client.is_closed()
         if gone or flight.n >= self.most_forwards or allowed <= 0:
             self.turn.put(self.unmade, flight)
             return
@@ -348,26 +379,26 @@
         def once(now, outcome, text=""):
             if not sent[0]:
                 sent[0] = True
-                event = ProbeAnswered(name, outcome, *reports.room(reports.figures(text)))
+                event = ProbeAnswered(name, outcome, *report_from_text(text))
                 self.dispatcher.handle(now, event)
 
-        def came(how, status, headers, body):
-            text = (body or headers.get(b"x-server-load", b"")).decode("latin-1")
+        def came(end):
+            text = (end.body or end.headers.get(b"x-server-load", b"")).decode("latin-1")
             outcome = (
                 Outcome.CONNECT_FAILED
-                if how == UNSENT
+                if end.result is CallResult.UNSENT
                 else Outcome.CONNECTION_RESET
-                if how == BROKEN
+                if end.result is CallResult.BROKEN
                 else Outcome.SUCCEEDED
-                if status == 200
+                if end.status == 200
                 else Outcome.REJECTED
-                if status == 503
+                if end.status == 503
                 else Outcome.FAILED
             )
             self.turn.put(once, outcome, text)
 
         def silent(now):
-            call.drop()
+            call.abandon()
             once(now, Outcome.TIMEOUT)
 
         self.gauges.count("probes")
@@ -381,7 +412,7 @@
         self.turn.at(at, lambda now: None)
 
     def follow(self, now):
-        self.watch.ask(now)
+        self.watch.poll(now)
 
     def note(self, now, text):
         logger.info("{text}", event="cutoffs", text=text)
--- /dev/null
+++ b/tests/node_harness.py
@@ -0,0 +1,180 @@
+"""A node on real sockets; a test can stop the step that matters."""
+
+import asyncio
+
+from emulators import PATIENCE, BlockingClient, ConnectGate, free_port, open_sockets, until
+from socketless_node import call_back_message
+
+from grebedyke.checks import checked
+from grebedyke.service import configuration, node
+from grebedyke.service.assembly import assemble
+from grebedyke.service.configuration.reading import NODE
+
+OPERATION = {
+    "name": "op",
+    "idempotency": "unsafe",
+    "latencyObjectiveMs": 2000,
+    "clientTimeoutMs": 8000,
+    "aimStretch": 1.0,
+}
+SETTINGS = {
+    "balancers": 1,
+    "me": 0,
+    "tickMs": 5,
+    "zone": "a",
+    "operations": [OPERATION],
+    "limits": {"maxForwards": 5, "connIdleMs": 60000, "connectTimeoutMs": 5000},
+    "rules": {
+        "coldFrom": 0.3,
+        "rampTimeMs": 8000,
+        "tipAfterMs": 1000,
+        "fallMultiple": 3,
+        "drainGraceMs": 2000,
+    },
+}
+
+
+class NodeHarness:
+    """A node that serves on real sockets; `async with` ends it and looks at what it leaves behind.
+
+    Attributes:
+        rows: The endpoint list of the node's file.
+        discovery: The `DiscoveryEmulator`, None where nobody listens.
+        read_again: Called at a reload for the node's file; by default it is as at the start.
+        gated: Addresses to which connects wait for `gate`.
+        waits: Whether `async with` begins only when the node serves.
+        folder: The node's folder, None without hot restart.
+        listen: The node's address as "host:port", None for a free port.
+        settings: Settings that differ from `SETTINGS`.
+        long_poll_wait: Ticks that discovery may hold back an answer, None for the deployment's own.
+        address: Host and port of the client listener.
+        node: The node; `desk`, `turn`, `pool` and `door` are its parts.
+        gate: The `ConnectGate`, None without `gated`.
+        serving: The task in which the node serves.
+    """
+
+    def __init__(
+        self,
+        *rows,
+        discovery=None,
+        read_again=None,
+        gated=(),
+        waits=True,
+        folder=None,
+        listen=None,
+        **settings,
+    ):
+        self.rows = rows
+        self.discovery = discovery
+        self.read_again = read_again
+        self.gated = gated
+        self.waits = waits
+        self.folder = folder
+        self.listen = listen
+        self.settings = settings
+        self.long_poll_wait = None
+
+    async def __aenter__(self):
+        self.sockets_before = open_sockets()
+        loop = asyncio.get_running_loop()
+        self.gate = ConnectGate(loop, *self.gated) if self.gated else None
+        self.said = self.node_configuration()
+        self.address = self.said["listen"]
+        self.node = assemble(loop, self.said, self.read_again or (lambda: self.said))
+        self.desk = self.node.desk
+        self.turn = self.node.turn
+        self.pool = self.node.pool
+        self.door = self.node.door
+        if self.long_poll_wait:
+            # Shorter than a deployment's; what comes after it is the same.
+            watch = self.node.watch
+            watch.settings = watch.settings._replace(long_poll_wait=self.long_poll_wait)
+        self.serving = asyncio.create_task(self.node.serve())
+        if self.waits:
+            await until(lambda: self.node.phase == node.Phase.SERVING or self.serving.done(), "serving")
+        return self
+
+    def node_configuration(self):
+        """Returns the checked content of the node's file."""
+        checked_file = checked(
+            NODE,
+            {
+                "name": "n1",
+                "listen": self.listen or "127.0.0.1:%d" % free_port(),
+                "discovery": self.discovery.address if self.discovery else "127.0.0.1:%d" % free_port(),
+                "known": {"index": 1, "endpoints": list(self.rows)},
+                "settings": {**SETTINGS, **self.settings},
+                "folder": self.folder,
+            },
+        )
+        checked_file["settings"] = configuration.terms(checked_file["settings"])
+        return checked_file
+
+    def endpoint(self, name="s-1"):
+        """Returns the node's endpoint for an executor."""
+        return self.pool.endpoints[name]
+
+    async def call_back(self, state, request_id="r1", name="s-1", more=""):
+        """Has an executor report a state of a job, on a connection of its own."""
+        caller = BlockingClient(self.address)
+        caller.socket.sendall(call_back_message(state, name, request_id, more))
+        assert b" 204 " in await caller.response()
+        caller.leave()
+
+    async def finish(self, client, request_id="r1", name="s-1"):
+        """Has an executor report success, and looks that the client gets it."""
+        await self.call_back("done", request_id, name)
+        assert b" 200 " in await client.response()
+        client.leave()
+
+    async def serve_another(self, executor, request_id="r2"):
+        """Looks that the node goes on: another client's request reaches the executor and is answered."""
+        client = BlockingClient(self.address).send_request(request_id)
+        await until(lambda: request_id.encode() in executor.received, "the other's attempt")
+        await self.finish(client, request_id, executor.name)
+
+    async def until_idle(self):
+        """Waits until nothing is under way any more."""
+        await until(lambda: not self.remains(), f"rest: {self.remains()}")
+
+    def remains(self):
+        """Returns what the node keeps of requests that are over, by its kind."""
+        dispatcher = self.desk.dispatcher
+        pool = self.pool
+        found = {
+            "open requests": self.desk.owed,
+            "requests": dispatcher.requests,
+            "queued": [request for request in dispatcher.queue.waiting if request.queued],
+            "leases": dispatcher.lending.leases,
+            "in flight": [
+                each for each in dispatcher.endpoints.by_id.values() if each.in_flight or each.slots_in_use
+            ],
+            "open attempts": [each for each in pool.endpoints.values() if each.open_attempts],
+            "busy connections": [
+                each for each in pool.connections if each.call or each not in each.endpoint.idle
+            ],
+            "connecting": pool.connecting,
+        }
+        return {kind: what for kind, what in found.items() if what}
+
+    async def __aexit__(self, kind, *_):
+        if kind is not None:
+            self.serving.cancel()
+            return False
+        await self.until_idle()
+        if self.node.phase == node.Phase.SERVING:
+            self.node.stop()
+        await asyncio.wait_for(self.serving, PATIENCE)
+        await until(self.all_closed, "all closed")
+        # Entries of the heap that still hold a connection's rings would hold them for a client timeout.
+        await until(lambda: open_sockets() <= self.sockets_before, "descriptors")
+        if self.gate:
+            del asyncio.get_running_loop().create_connection
+
+    def all_closed(self):
+        """Returns whether all connections have ended, and closes those to executors."""
+        if not self.pool.connections and not self.door.connections.accepted:
+            return True
+        for connection in list(self.pool.connections):
+            connection.close()
+        return False
