--- /dev/null
+++ b/tests/node_files.py
@@ -0,0 +1,80 @@
+"""Configuration files of nodes: a complete one, and changes to it."""
+
+import orjson
+from emulators import free_port
+
+from grebedyke.checks import checked
+from grebedyke.service import configuration
+from grebedyke.service.configuration.reading import NODE
+
+SETTINGS = {
+    "balancers": 1,
+    "me": 0,
+    "tickMs": 5,
+    "zone": "a",
+    "operations": [
+        {"name": "op", "idempotency": "unsafe", "latencyObjectiveMs": 200, "clientTimeoutMs": 4000}
+    ],
+    "limits": {"maxForwards": 5, "connIdleMs": 5000, "connectTimeoutMs": 250},
+    "rules": {
+        "coldFrom": 0.3,
+        "rampTimeMs": 8000,
+        "tipAfterMs": 1000,
+        "fallMultiple": 3,
+        "drainGraceMs": 500,
+    },
+}
+LISTED_ROW = {
+    "name": "s-1",
+    "address": "127.0.0.1:9",
+    "zone": "a",
+    "type": "m",
+    "group": 0,
+    "status": "Ready",
+}
+# One operation of each effect, by the name of its effect.
+OPERATIONS = [
+    {
+        "name": name,
+        "idempotency": name,
+        "group": "all",
+        "windowMs": 9000,
+        "latencyObjectiveMs": 3000,
+        "clientTimeoutMs": 8000,
+    }
+    for name in ("safe", "keyed", "unsafe")
+]
+
+
+def node_file(**changes):
+    """Returns the content of a node's file, with other top-level keys as given."""
+    return {
+        "name": "n1",
+        "listen": "127.0.0.1:%d" % free_port(),
+        "discovery": "127.0.0.1:%d" % free_port(),
+        "settings": SETTINGS,
+        **changes,
+    }
+
+
+def node_file_with(path, value):
+    """Returns the content of a node's file with the value at one path changed."""
+    content = orjson.loads(orjson.dumps(node_file(known={"index": 1, "endpoints": [LISTED_ROW]})))
+    *parents, last_key = path
+    place = content
+    for key in parents:
+        place = place[key]
+    place[last_key] = value
+    return content
+
+
+def checked_configuration(content):
+    """Returns what a node reads out of a file with this content."""
+    node_configuration = checked(NODE, content)
+    node_configuration["settings"] = configuration.terms(node_configuration["settings"])
+    return node_configuration
+
+
+def reader_of(file):
+    """Returns a call that reads a node's file as the program does."""
+    return lambda: configuration.read_node({"BALANCER_CONFIG": str(file)})
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -6,9 +6,11 @@
 
 import orjson
 import pytest
+from emulators import free_port
 from helpers import dispatcher, pull, rows
+from job_emulators import AcceptingExecutor, send_last_request
 from loguru import logger
-from test_service import EFFECTS, ROW, TERMS, Executor, free_port, one_answer, told
+from node_files import LISTED_ROW, OPERATIONS, SETTINGS, node_file
 
 from grebedyke.model.actions import Fail, Forward, Throttle
 from grebedyke.model.outcome import Effect, Outcome
@@ -235,7 +237,7 @@
 
 def settings_with(rules):
     """Returns settings with these rules beside the required ones."""
-    return {**TERMS, "rules": {**TERMS["rules"], **rules}}
+    return {**SETTINGS, "rules": {**SETTINGS["rules"], **rules}}
 
 
 def test_complete_settings_are_taken():
@@ -249,14 +251,14 @@
     assert f"settings.rules.{key} " in str(refusal.value) and problem in str(refusal.value)
 
 
-class RejectingExecutor(Executor):
+class RejectingExecutor(AcceptingExecutor):
     """An emulator that turns every job away."""
 
-    async def talk(self, reader, writer):
+    async def serve_connection(self, reader, writer):
         while await reader.readline():
             while await reader.readline() not in (b"\r\n", b""):
                 pass
-            self.seen.put_nowait(1)
+            self.received.put_nowait(1)
             writer.write(b"HTTP/1.1 503 no\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 
 
@@ -291,13 +293,13 @@
     def write(self, rules):
         """Writes the configuration file with these rules."""
         endpoints = [
-            {**ROW, "name": f"s-{number}", "address": executor.address}
+            {**LISTED_ROW, "name": f"s-{number}", "address": executor.address}
             for number, executor in enumerate(self.executors)
         ]
-        settings = {**settings_with(rules), "operations": EFFECTS}
+        settings = {**settings_with(rules), "operations": OPERATIONS}
         known = {"index": 1, "endpoints": endpoints}
         self.file.write_bytes(
-            orjson.dumps(told(listen="%s:%d" % self.address, known=known, settings=settings))
+            orjson.dumps(node_file(listen="%s:%d" % self.address, known=known, settings=settings))
         )
 
     def read(self):
@@ -314,7 +316,7 @@
             endpoint.rejected_until = {}
             endpoint.ejected_until = 0
             endpoint.credit = 2.0
-        answer = await one_answer(self.address, "unsafe", request_id)
+        answer = await send_last_request(self.address, "unsafe", request_id)
         assert answer.startswith(b"HTTP/1.1 503 ") and b"HTTP/1.1" not in answer[8:], answer
         return self._received() - before
 
@@ -326,7 +328,7 @@
             executor.server.close()
 
     def _received(self):
-        return sum(executor.seen.qsize() for executor in self.executors)
+        return sum(executor.received.qsize() for executor in self.executors)
 
 
 def test_sighup_adds_changes_and_drops_it_on_sockets(tmp_path):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -5,7 +5,7 @@
 import orjson
 import pytest
 from click.testing import CliRunner
-from test_service import TERMS, told
+from node_files import SETTINGS, node_file
 
 from grebedyke.commands.main import cli
 from grebedyke.service import configuration
@@ -112,7 +112,7 @@
 
 def test_files_that_are_none(tmp_path):
     (tmp_path / "folder.toml").mkdir()
-    text = orjson.dumps(told(), option=orjson.OPT_INDENT_2).decode()
+    text = orjson.dumps(node_file(), option=orjson.OPT_INDENT_2).decode()
     for name, data, words in (
         ("folder.toml", None, "cannot be read: Is a directory"),
         ("absent.json", None, "No such file"),
@@ -159,7 +159,7 @@
 
 
 def test_what_the_platform_tells_beside_is_still_let_through_in_json(tmp_path):
-    said = told(settings={**TERMS, "novel": 1, "zones": ["a"]}, more={"x": 2})
+    said = node_file(settings={**SETTINGS, "novel": 1, "zones": ["a"]}, more={"x": 2})
     assert read(tmp_path, orjson.dumps(said), "node.json")["settings"]["tickMs"] == 5
     with pytest.raises(configuration.ConfigurationError, match="setting novel is unknown"):
         read(tmp_path, "novel = 1\n" + TEXT)
--- /dev/null
+++ b/tests/test_discovery_client.py
@@ -0,0 +1,208 @@
+"""The discovery client without sockets: what it polls, and what it makes of the answers."""
+
+import asyncio
+
+import orjson
+from loguru import logger
+from node_files import LISTED_ROW
+from socketless_node import CallRecorder, FakeEventLoop, connect, frozen_batches, receive
+
+from grebedyke.wire.discovery_client import DiscoveryClient, DiscoveryConnection, DiscoverySettings
+
+SETTINGS = DiscoverySettings(
+    long_poll_wait=50_000, answer_grace=10_000, retry_delay=10_000, max_retry_delay=10_000
+)
+# Ticks that an answer takes which discovery holds back until there is news.
+LONG_POLL = 50_000
+
+
+def client_of(loop, recorder):
+    """Returns a client at version 41 whose lists and failures the recorder keeps."""
+    batch = frozen_batches(loop)
+    batch.next_action = lambda now: None
+    return DiscoveryClient(
+        loop,
+        batch,
+        ("127.0.0.1", 1),
+        41,
+        SETTINGS,
+        on_list=recorder.listed,
+        on_failure=recorder.unlisted,
+    )
+
+
+def response_of(body):
+    """Returns an HTTP response with this body."""
+    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+
+
+def poll_answered(*answers, at_once=False):
+    """Has a client poll, and discovery give these answers in a row.
+
+    Args:
+        *answers: Objects, or bodies in bytes.
+        at_once: Whether discovery does not wait for news.
+
+    Returns:
+        The client, its calls, and what it has sent.
+    """
+    loop = FakeEventLoop()
+    recorder = CallRecorder()
+    client = client_of(loop, recorder)
+    client.connection = connect(DiscoveryConnection(client))
+    client.poll()
+    transport = client.connection.transport
+    for answer in answers:
+        client.poll_started -= 0 if at_once else LONG_POLL
+        body = orjson.dumps(answer) if isinstance(answer, dict) else answer
+        receive(client.connection, response_of(body), 11)
+        loop.run_ready()
+        if client.connection is None or transport.closing:
+            break
+    loop.run_ready()
+    return client, recorder.calls, transport.written
+
+
+def next_poll(client):
+    """Lets the client's planned poll begin."""
+    next(call for _, _, call, _ in client.batch.timers if call == client.poll)(0)
+    client.loop.run_ready()
+
+
+def test_a_watch_follows_at_once_and_tells_changes_from_whole_lists():
+    row = ("s-1", ("127.0.0.1", 9), "a", "m", 0, "healthy", 0, 1)
+    _, calls, sent = poll_answered(
+        {"index": 42, "snapshot": False, "endpoints": []},
+        {"index": 43, "snapshot": True, "endpoints": [LISTED_ROW]},
+        {"index": 44, "snapshot": False, "endpoints": [{**LISTED_ROW, "status": "Terminating"}]},
+    )
+    assert calls == [("listed", True, [row]), ("listed", False, [(*row[:5], "draining", *row[6:])])]
+    # The first poll asks for what the agent has; those after it wait for what comes.
+    assert [line.split()[1] for line in sent.split(b"\r\n") if line.startswith(b"GET")] == [
+        b"/discovery/hosts?after=%d&wait_ms=%d" % (version, 5000 if version > 41 else 0)
+        for version in (41, 42, 43, 44)
+    ]
+
+
+def test_a_discovery_that_does_not_wait_is_not_asked_without_a_pause():
+    """Discovery answers each poll at once though it has no news: a node must not poll it in a row."""
+    for at_once, rows, polls in ((True, [], 1), (True, [LISTED_ROW], 2), (False, [], 2)):
+        client, _, sent = poll_answered({"index": 42, "endpoints": rows}, at_once=at_once)
+        assert sent.count(b"GET ") == polls
+        if polls == 1:
+            next_poll(client)
+            assert client.connection.transport.written.count(b"GET ") == 2
+
+
+def test_a_line_of_the_list_without_an_address_costs_no_other():
+    rows = [{**LISTED_ROW, "name": "s-0", "address": "?"}, LISTED_ROW]
+    _, calls, _ = poll_answered({"index": 42, "snapshot": True, "endpoints": rows})
+    _, _, listed = calls[0]
+    assert [(row.name, row.state) for row in listed] == [("s-0", "gone"), ("s-1", "healthy")]
+
+
+def test_a_list_of_odd_and_repeated_lines_or_an_older_version_is_survived():
+    """A list has thousands of rows that cannot be read, and an older list comes after it.
+
+    A log line for each row would be longer than the list.
+    """
+    malformed = [
+        None,
+        5,
+        {},
+        {"name": 7},
+        {"name": ""},
+        {**LISTED_ROW, "name": "s-9", "status": 3},
+        {**LISTED_ROW, "name": "s-8", "address": "h:99999"},
+        {**LISTED_ROW, "name": "s-7", "since_ms": "x", "weight": None},
+    ]
+    lines = []
+    sink = logger.add(lambda text: lines.append(str(text)))
+    try:
+        client, calls, _ = poll_answered(
+            {"index": 42, "snapshot": True, "endpoints": malformed * 2_000 + [LISTED_ROW, LISTED_ROW]},
+            {"index": 7, "snapshot": False, "endpoints": [{**LISTED_ROW, "status": "Gone"}]},
+        )
+    finally:
+        logger.remove(sink)
+    assert len(calls) == 1
+    assert {row.name for row in calls[0][2] if row.state == "healthy"} == {"s-1", "s-7"}
+    assert len(lines) == 2
+    # What is older is not applied; the next poll is for the whole list, which is taken whatever its version.
+    assert client.version is None and not client.polling
+    next_poll(client)
+    whole_list = b"GET /discovery/hosts HTTP/1.1\r\nHost: 127.0.0.1:1\r\n\r\n"
+    assert client.connection.transport.written.endswith(whole_list)
+
+
+def test_an_answer_that_is_no_list_or_silence_is_a_failed_watch():
+    for answer in (b"{", b"[]", b'{"endpoints":[]}', b'{"index":1,"endpoints":[{}]}', None):
+        client, _, _ = poll_answered(*(() if answer is None else (answer,)))
+        if answer is None:
+            client.poll_timed_out(0, client.poll_number - 1)  # of an earlier poll
+            assert client.polling
+            client.poll_timed_out(0, client.poll_number)
+        else:
+            client.connection.connection_lost(None)
+        client.loop.run_ready()
+        assert not client.polling and client.connection is None
+        planned = [timer for timer in client.batch.timers if timer[2] == client.poll]
+        assert len(planned) == 1  # a node that follows changes goes on polling by itself
+
+
+def test_a_moved_watch_asks_anew_and_is_deaf_to_the_old_discovery():
+    """Discovery moves to another address while a poll is under way.
+
+    Versions of two agents are not comparable, and the old one's close is no failure of discovery.
+    """
+    client, calls, _ = poll_answered()
+    old_connection = client.connection
+    client.move("127.0.0.1", 1)
+    assert client.connection is old_connection  # the same address: nothing to do
+    client.move("127.0.0.2", 2)
+    client.poll_timed_out(0, 1)
+    receive(old_connection, response_of(b'{"index":99,"snapshot":true,"endpoints":[]}'))
+    old_connection.connection_lost(None)
+    client.loop.run_ready()
+    assert old_connection.transport.closing and client.polling and not calls and client.version is None
+    client.connection = connect(DiscoveryConnection(client))
+    client.send_poll()
+    client.loop.run_ready()
+    first_poll = b"GET /discovery/hosts HTTP/1.1\r\nHost: 127.0.0.2:2\r\n"
+    assert client.connection.transport.written.startswith(first_poll)
+
+
+def test_a_connect_of_the_old_watch_does_not_end_the_new_one(monkeypatch):
+    """Discovery moves while a connect to the old address is past being cancelled.
+
+    Its end, or its connection, must not be taken for the new one's.
+    """
+
+    async def play(is_refused):
+        loop = asyncio.get_running_loop()
+        client = client_of(FakeEventLoop(), CallRecorder())
+        client.loop = loop
+        opened = []
+
+        async def create_connection(factory, host, port):
+            opened.append(port)
+            if port == 1:
+                await asyncio.sleep(0.01)
+                if is_refused:
+                    raise OSError
+            connection = connect(factory())
+            return connection.transport, connection
+
+        monkeypatch.setattr(loop, "create_connection", create_connection)
+        client.poll()
+        await asyncio.sleep(0)
+        late_task = client.connect_task
+        client.connect_task = None  # as if it were past being cancelled
+        client.move("127.0.0.2", 2)
+        await asyncio.gather(late_task, client.connect_task)
+        return opened, client
+
+    for is_refused in (True, False):
+        opened, client = asyncio.run(play(is_refused))
+        assert opened == [1, 2] and client.polling and not client.failing and not client.batch.events
+        assert not client.connection.transport.closing
--- /dev/null
+++ b/tests/test_hot_restart.py
@@ -0,0 +1,331 @@
+"""The hot restart: a new process takes over from the one that serves."""
+
+import asyncio
+import os
+import signal
+import socket
+import subprocess
+import sys
+
+import orjson
+from emulators import free_port
+from job_emulators import RunningExecutor, send_message
+from loguru import logger
+from node_files import LISTED_ROW, OPERATIONS, SETTINGS, checked_configuration, node_file, reader_of
+
+from grebedyke.service import node
+from grebedyke.service.assembly import assemble
+from grebedyke.service.hot_restart import HotRestart
+from grebedyke.service.process_channel import PACKET_BYTES, ProcessChannel
+
+READY_CALL = b"GET /v1/readyz HTTP/1.1\r\n\r\n"
+HEALTH_CHECK = b"GET /up HTTP/1.1\r\n\r\n"
+# Seconds until a message between two processes here is handled.
+MESSAGE_TIME_S = 0.05
+
+
+def admin_call(endpoint_id, action):
+    """Returns an operator's call on an endpoint."""
+    return f"POST /v1/executors/{endpoint_id}/{action} HTTP/1.1\r\n\r\n".encode()
+
+
+def channel_pair(on_message, on_end):
+    """Returns both ends of a channel; the calls get the number of the end before all else."""
+    loop = asyncio.get_running_loop()
+    return [
+        ProcessChannel(
+            loop,
+            end,
+            lambda _, message, descriptors, number=number: on_message(number, message, descriptors),
+            lambda _, number=number: on_end(number),
+        )
+        for number, end in enumerate(socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET))
+    ]
+
+
+def test_a_channel_carries_long_messages_and_descriptors_in_order():
+    async def play():
+        received = []
+        ended = []
+
+        def on_message(number, message, descriptors):
+            inodes = [os.fstat(descriptor).st_ino for descriptor in descriptors]
+            received.append((number, message, inodes))
+            for descriptor in descriptors:
+                os.close(descriptor)
+
+        near, far = channel_pair(on_message, ended.append)
+        messages = [{"n": 1}, {"n": "x" * (5 * PACKET_BYTES)}, *({"n": number} for number in range(500))]
+        with open(os.devnull) as file:
+            for message in messages:
+                near.send(message, file.fileno())
+            inode = os.fstat(file.fileno()).st_ino
+        # More than the kernel takes at once: the rest follows when there is room, with its descriptors.
+        assert near.queue
+        while len(received) < len(messages):
+            await asyncio.sleep(0.01)
+        near.close()
+        near.send({"n": 3})  # nobody is there: nothing
+        async with asyncio.timeout(2):
+            while len(ended) < 2:
+                await asyncio.sleep(0.01)
+        assert received == [(1, message, [inode]) for message in messages]
+        assert ended == [0, 1] and far.socket is None
+
+    asyncio.run(play())
+
+
+def test_only_one_process_takes_over_and_malformed_messages_end_nothing(tmp_path):
+    """Several processes want to take over, and one sends what cannot be understood.
+
+    The one that serves must go on, and be found by the next process when its successor has ended.
+    """
+    folder = tmp_path / ("long" * 30)
+    folder.mkdir()
+
+    async def play():
+        loop = asyncio.get_running_loop()
+        listening = socket.socket()
+        calls = []
+
+        def process(**handlers):
+            return HotRestart(
+                loop,
+                str(folder),
+                "n/1",
+                lambda: ({"list": [1]}, listening.fileno()),
+                {"books": calls.append, **handlers},
+                calls.append,
+            )
+
+        first = process(hand=lambda name: calls.append(name))
+        second = process()
+        third = process()
+        assert await first.inherit() is None
+        first.offer()
+        inherited = await second.inherit()
+        assert inherited is not None and calls == [True, True, {"list": [1]}]
+        assert await third.inherit() is None  # the first one has its successor
+        first.successor.send({"kind": "what"})  # of another version
+        await asyncio.sleep(MESSAGE_TIME_S)
+        assert calls[3:] == [False] * 3 and not first.successor_is_ready
+        # A successor that ends before its time leaves the first one to be found by the next.
+        assert await third.inherit() is not None
+        third.offer()
+        await asyncio.sleep(MESSAGE_TIME_S)
+        assert first.successor_is_ready and not first.server
+        third.send("hand", name="s-1")
+        third.send("hand", odd=1)
+        await asyncio.sleep(MESSAGE_TIME_S)
+        assert calls[-1] == "s-1" and first.successor_is_ready
+        third.close()
+        await asyncio.sleep(MESSAGE_TIME_S)
+        assert not first.successor_is_ready and first.server
+        inherited.close()
+        listening.close()
+        first.close()
+        assert os.listdir(folder) == []
+        # A killed process leaves its socket behind.
+        first.offer()
+        first.withdraw()
+        assert await second.inherit() is None
+
+    logger.remove()
+    asyncio.run(play())
+
+
+class RestartedNode:
+    """Two processes of one node, and clients that go on sending meanwhile.
+
+    Attributes:
+        folder: Where the processes find each other.
+        address: Where both listen.
+        executors: The `RunningExecutor`s.
+        responses: Head of each response by the request's identifier.
+        is_over: Future that ends the clients.
+    """
+
+    def __init__(self, folder):
+        self.folder = folder
+        self.address = ("127.0.0.1", free_port())
+        self.executors = [RunningExecutor(f"s-{number}", {"k": self.address}) for number in range(3)]
+        self.responses = {}
+        self.is_over = asyncio.get_running_loop().create_future()
+
+    def rows(self):
+        """Returns the endpoint list."""
+        return [{**LISTED_ROW, "name": one.name, "address": one.address} for one in self.executors]
+
+    async def start_process(self, rows):
+        """Starts a process whose file has these rows.
+
+        Returns:
+            The `Node`, its task, and the address of its admin API.
+        """
+        node_configuration = checked_configuration(
+            node_file(
+                listen="%s:%d" % self.address,
+                folder=str(self.folder),
+                console="127.0.0.1:%d" % free_port(),
+                known={"index": 1, "endpoints": rows},
+                settings={**SETTINGS, "operations": OPERATIONS},
+            )
+        )
+        process = assemble(asyncio.get_running_loop(), node_configuration, lambda: node_configuration)
+        serving = asyncio.create_task(process.serve())
+        while process.phase != node.Phase.SERVING:
+            await asyncio.sleep(0.01)
+        return process, serving, node_configuration["console"]
+
+    async def send_requests(self, name):
+        """Sends one request after the other on one connection, which nobody may close."""
+        connection = await asyncio.open_connection(*self.address)
+        reader, writer = connection
+        number = 0
+        while not self.is_over.done():
+            request_id = f"k-{name}-{number}"
+            operation = ("safe", "keyed", "unsafe")[number % 3]
+            message = (
+                f"POST /{operation}/k HTTP/1.1\r\nX-Request-ID: {request_id}\r\nX-Timeout-Ms: 8000\r\n"
+                "Idempotency-Key: i\r\nContent-Length: 0\r\n\r\n"
+            )
+            self.responses[request_id] = await send_message(self.address, message.encode(), connection)
+            await reader.readexactly(1)  # the result
+            number += 1
+        writer.close()
+
+
+async def assert_bans_bind_both(old, new, old_admin, new_admin):
+    """Asserts that an operator's call at either process binds both; s-0 is banned already."""
+    states = {one.id: one.state for one in new.parts.host.dispatcher.endpoints.by_id.values()}
+    assert states["s-0"] == "banned"
+    assert b" 200 " in await send_message(new_admin, admin_call("s-1", "suspend"))
+    assert b" 404 " in await send_message(new_admin, admin_call("s-9", "suspend"))
+    await asyncio.sleep(MESSAGE_TIME_S)
+    for process in (old, new):
+        healthy = process.parts.host.dispatcher.endpoints.healthy
+        assert [endpoint.id for endpoint in healthy] == ["s-2"]
+    assert b" 200 " in await send_message(old_admin, admin_call("s-1", "resume"))
+
+
+async def restart_under_load(folder):
+    """Restarts a node while clients send requests; returns the responses and the jobs that ran."""
+    restarted = RestartedNode(folder)
+    for executor in restarted.executors:
+        await executor.start()
+    old, old_serving, old_admin = await restarted.start_process(restarted.rows())
+    silent_client = await asyncio.open_connection(*restarted.address)
+    clients = [asyncio.create_task(restarted.send_requests(str(number))) for number in range(4)]
+    await asyncio.sleep(0.3)
+    assert b" 200 " in await send_message(old_admin, admin_call("s-0", "suspend"))
+    new, _, new_admin = await restarted.start_process([])  # its file names no executor at all
+    assert b" 200 " in await send_message(new_admin, READY_CALL)
+    await assert_bans_bind_both(old, new, old_admin, new_admin)
+    await asyncio.sleep(0.1)
+    responses_before = len(restarted.responses)
+    old.stop()
+    await asyncio.wait_for(old_serving, 3)
+    assert len(restarted.responses) > responses_before  # what was open at its end has been answered
+    await asyncio.sleep(0.3)
+    if old.parts.admin_api.connections:
+        assert b" 503 " in await send_message(old_admin, READY_CALL)
+    restarted.is_over.set_result(None)
+    await asyncio.gather(*clients)
+    # A client that had sent nothing yet is not forgotten either.
+    assert b" 200 " in await send_message(restarted.address, HEALTH_CHECK, silent_client)
+    assert new.parts.host.dispatcher.endpoints.healthy
+    assert not old.parts.host.requests.pending
+    assert not old.parts.listener.connections.accepted
+    new.stop()
+    for executor in restarted.executors:
+        executor.server.close()
+    return restarted.responses, [job for executor in restarted.executors for job in executor.jobs]
+
+
+def test_a_new_process_takes_over_under_load(tmp_path):
+    """A process takes over while clients keep sending on open connections.
+
+    A connection could be closed under its client, a call-back find nobody, a ban be forgotten, or an old list
+    come back into force.
+    """
+    responses, jobs = asyncio.run(restart_under_load(tmp_path))
+    assert len(responses) > 20 and all(b" 200 " in head for head in responses.values()), responses
+    assert sorted(jobs) == sorted(responses)  # each ran, and none twice
+
+
+def test_new_settings_reach_both_processes_and_one_that_is_starting(tmp_path):
+    """A node's file changes while two processes serve, or while the second one starts.
+
+    The signal goes to one process, and the other had read the file before it was changed.
+    """
+    file = tmp_path / "config.json"
+    content = node_file(folder=str(tmp_path), settings={**SETTINGS, "operations": OPERATIONS})
+    read = reader_of(file)
+    processes = []
+    tasks = []
+
+    def write(*names):
+        operations = [{**OPERATIONS[0], "name": name} for name in names]
+        file.write_bytes(orjson.dumps({**content, "settings": {**SETTINGS, "operations": operations}}))
+
+    def operations_in_force():
+        return [sorted(process.parts.listener.timeouts.current) for process in processes]
+
+    async def start():
+        processes.append(assemble(asyncio.get_running_loop(), read(), read))
+        write("a", "b")  # while it starts
+        tasks.append(asyncio.create_task(processes[-1].serve()))
+        while processes[-1].phase != node.Phase.SERVING:
+            await asyncio.sleep(0.01)
+        await asyncio.sleep(MESSAGE_TIME_S)
+
+    async def play():
+        write("a")
+        await start()
+        assert operations_in_force() == [["a", "b"]]
+        await start()
+        for number, names in ((0, "ac"), (1, "ad")):
+            write(*names)
+            processes[number].reload()
+            await asyncio.sleep(MESSAGE_TIME_S)
+            assert operations_in_force() == [[*names]] * 2
+        processes[0].stop()
+        write("e")
+        processes[0].reload()  # to the one that stops already
+        await asyncio.sleep(MESSAGE_TIME_S)
+        assert operations_in_force()[1] == ["e"]
+        # A faulty file leaves both as they are.
+        file.write_bytes(b"{")
+        processes[1].reload()
+        assert operations_in_force()[1] == ["e"]
+        processes[1].stop()
+        await asyncio.gather(*tasks)
+
+    asyncio.run(play())
+
+
+def test_the_old_process_ends_with_0_and_the_new_one_answers(tmp_path):
+    content = node_file()
+    file = tmp_path / "config.json"
+    file.write_bytes(orjson.dumps(content))
+    environ = {**os.environ, "BALANCER_CONFIG": str(file), "TMPDIR": str(tmp_path)}
+    host, _, port = content["listen"].rpartition(":")
+    processes = []
+    try:
+        for number in range(3):  # each takes over from the one before
+            process = subprocess.Popen(
+                [sys.executable, "-m", "grebedyke"], stderr=subprocess.PIPE, text=True, env=environ
+            )
+            processes.append(process)
+            assert any("-> serving" in line for line in process.stderr)
+            if number:
+                predecessor = processes[number - 1]
+                assert any("a new process serves beside this one" in line for line in predecessor.stderr)
+                predecessor.send_signal(signal.SIGTERM)
+                assert predecessor.wait(5) == 0
+            assert b" 200 " in asyncio.run(send_message((host, int(port)), HEALTH_CHECK))
+    finally:
+        for process in processes:
+            process.kill()
+            process.wait()
+            process.stderr.close()
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,3 +1,5 @@
+"""The log's lines, and a reader of them that stops."""
+
 import os
 
 import orjson
@@ -6,47 +8,54 @@
 from grebedyke.service import log
 from grebedyke.service.metrics import Metrics
 
+LINES = 1_000
+LINE = "x" * 999 + "\n"
+
 
-def read_all(fd):
-    os.set_blocking(fd, False)
+def read_all(descriptor):
+    """Returns all that a pipe holds."""
+    os.set_blocking(descriptor, False)
     data = b""
     try:
-        while piece := os.read(fd, 1 << 16):
+        while piece := os.read(descriptor, 1 << 16):
             data += piece
     except BlockingIOError:
         pass
     return data
 
 
-def test_a_reader_that_stops_holds_nothing_up_and_is_told_what_it_missed():
-    # A log line that waits for its reader keeps the loop waiting, with all that it owes.
-    out, into = os.pipe()
-    sink = log.NonBlockingSink(into, lambda n: f"{n} dropped\n")
-    line = "x" * 999 + "\n"
-    for _ in range(1_000):
-        sink.write(line)  # a pipe holds 65,536 bytes
-    assert 900 < sink.dropped < 1_000
-    missed, before = sink.dropped, read_all(out)
-    assert len(before) == 1_000 * (1_000 - missed) and before.endswith(b"\n")
+def test_a_reader_that_stops_holds_nothing_up_and_learns_what_it_missed():
+    """Whoever reads the log stops reading.
+
+    A line that waited for its reader kept the event loop waiting, with all requests that were open.
+    """
+    reading_end, writing_end = os.pipe()
+    sink = log.NonBlockingSink(writing_end, lambda count: f"{count} dropped\n")
+    for _ in range(LINES):
+        sink.write(LINE)  # a pipe holds 65,536 bytes
+    assert 900 < sink.dropped < LINES
+    dropped = sink.dropped
+    received = read_all(reading_end)
+    assert len(received) == len(LINE) * (LINES - dropped) and received.endswith(b"\n")
     sink.write("again\n")
-    assert read_all(out) == b"%d dropped\nagain\n" % missed and not sink.dropped
+    assert read_all(reading_end) == b"%d dropped\nagain\n" % dropped and not sink.dropped
     # A long line that is cut ends as a line of its own.
     for _ in range(60):
-        sink.write(line)
+        sink.write(LINE)
     sink.write("y" * 20_000 + "\n")
-    read_all(out)
+    read_all(reading_end)
     sink.write("last\n")
-    assert read_all(out).endswith(b"1 dropped\nlast\n")
-    os.close(out)
+    assert read_all(reading_end).endswith(b"1 dropped\nlast\n")
+    os.close(reading_end)
     for _ in range(3):
-        sink.write(line)  # nobody there any more: no exception either
-    os.close(into)
-    sink.write(line)
+        sink.write(LINE)  # nobody reads any more: no exception either
+    os.close(writing_end)
+    sink.write(LINE)
 
 
 def test_json_lines_have_stable_keys_and_figures_as_numbers():
-    out, into = os.pipe()
-    log.open_log("n\u0171", form="json", descriptor=into)
+    reading_end, writing_end = os.pipe()
+    log.open_log("n\u0171", form="json", descriptor=writing_end)
     metrics = Metrics()
     metrics.count("taken")
     metrics.record_wait(25)
@@ -59,10 +68,15 @@
         logger.exception("turn: {call} failed", event="turn-fault", call="x{y}")
     logger.info("plain {}", "words")
     logger.remove()
-    rows = [orjson.loads(line) for line in read_all(out).splitlines()]
-    assert all([*row][:4] == ["time", "level", "node", "event"] and row["node"] == "n\u0171" for row in rows)
+    rows = [orjson.loads(line) for line in read_all(reading_end).splitlines()]
+    for row in rows:
+        assert [*row][:4] == ["time", "level", "node", "event"]
+        assert row["node"] == "n\u0171"
     assert [row["event"] for row in rows] == ["counts", "phase", "turn-fault", "text"]
-    assert rows[0]["taken"] == 1 and rows[0]["out"] == 2 and rows[0]["wait_p50_ms"] == 2.5
-    assert rows[1]["after"] == "b" and "{braces}" in rows[2]["trace"] and rows[3]["text"] == "plain words"
-    os.close(out)
-    os.close(into)
+    counts, phase, fault, text = rows
+    assert counts["taken"] == 1 and counts["out"] == 2 and counts["wait_p50_ms"] == 2.5
+    assert phase["after"] == "b"
+    assert "{braces}" in fault["trace"]
+    assert text["text"] == "plain words"
+    os.close(reading_end)
+    os.close(writing_end)
--- /dev/null
+++ b/tests/test_reload.py
@@ -0,0 +1,318 @@
+"""Reloads: what changes while a node runs, and what a faulty file leaves as it was."""
+
+import asyncio
+import os
+import signal
+import subprocess
+import sys
+
+import orjson
+from emulators import free_port
+from job_emulators import RunningExecutor, send_last_request
+from loguru import logger
+from node_files import LISTED_ROW, OPERATIONS, SETTINGS, node_file, node_file_with, reader_of
+
+from grebedyke.model.endpoint_list import EndpointRow
+from grebedyke.model.events import EndpointsChanged
+from grebedyke.service import configuration, node
+from grebedyke.service.assembly import assemble
+from grebedyke.service.reload import reload
+
+# An operation that only some of the files have.
+FURTHER_OPERATION = {**OPERATIONS[0], "name": "more"}
+REQUESTS = 72
+# Each so many requests one of the nodes reloads.
+RELOAD_CYCLE = 12
+
+
+def test_a_reload_follows_the_files_discovery_and_refuses_a_faulty_file(tmp_path):
+    """The file changes, and the program gets SIGHUP.
+
+    The signal ended the program, with all the requests that it had.
+    """
+    content = node_file()
+    moved = "127.0.0.1:%d" % free_port()
+    file = tmp_path / "config.json"
+    file.write_bytes(orjson.dumps(content))
+    environ = {"BALANCER_CONFIG": str(file), "BALANCER_DISCOVERY": content["discovery"]}
+    process = subprocess.Popen(
+        [sys.executable, "-m", "grebedyke"],
+        stderr=subprocess.PIPE,
+        text=True,
+        env={**os.environ, **environ},
+    )
+    try:
+        for text, expected_line in (
+            (None, "-> serving"),
+            (b"{", "reload refused"),
+            (orjson.dumps({**content, "discovery": "?"}), "setting discovery is not host:port"),
+            (orjson.dumps({**content, "discovery": moved}), f"discovery at {moved} (moved)"),
+        ):
+            if text:
+                file.write_bytes(text)
+                process.send_signal(signal.SIGHUP)
+            assert any(expected_line in line for line in process.stderr), expected_line
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(10) == 0
+    finally:
+        process.kill()
+        process.wait()
+        process.stderr.close()
+
+
+class ReloadedPair:
+    """Two nodes that reload while clients send requests of every effect.
+
+    Attributes:
+        folder: Where their files are.
+        addresses: Host and port of each node by its name.
+        peers: Their addresses for peer messages.
+        executors: The `RunningExecutor`s.
+        nodes: The nodes by name.
+        serving: Their tasks.
+        leases_seen: Sum of the leases of all nodes over all requests; 0 if the nodes lent each other nothing.
+    """
+
+    def __init__(self, folder):
+        self.folder = folder
+        self.addresses = {name: ("127.0.0.1", free_port()) for name in "ab"}
+        self.peers = ["127.0.0.1:%d" % free_port() for _ in "ab"]
+        self.executors = [RunningExecutor(f"s-{number}", self.addresses) for number in range(3)]
+        self.nodes = {}
+        self.serving = []
+        self.leases_seen = 0
+
+    async def start(self):
+        """Starts executors and nodes, and waits until these serve."""
+        for executor in self.executors:
+            await executor.start()
+        for name in self.addresses:
+            self.write(name, has_peers=False)
+            read = reader_of(self.folder / name)
+            self.nodes[name] = assemble(asyncio.get_running_loop(), read(), read)
+            self.serving.append(asyncio.create_task(self.nodes[name].serve()))
+        while any(one.phase != node.Phase.SERVING for one in self.nodes.values()):
+            await asyncio.sleep(0.01)
+
+    def write(self, name, has_peers):
+        """Writes a node's file: with the other node as its peer and a further operation, or without."""
+        further_operations = [FURTHER_OPERATION] if has_peers else []
+        settings = {
+            **SETTINGS,
+            "operations": OPERATIONS + further_operations,
+            "limits": {**SETTINGS["limits"], "peerMessages": has_peers, "probes": False},
+            "balancers": 2,
+            "me": "ab".index(name),
+            "parties": [{"name": "t", "quotaRps": 9}],
+            "familyInfo": {"tellsStart": not has_peers},
+        }
+        rows = [{**LISTED_ROW, "name": one.name, "address": one.address} for one in self.executors]
+        content = node_file(
+            name=name,
+            listen="%s:%d" % self.addresses[name],
+            known={"index": 1, "endpoints": rows},
+            settings=settings,
+            peers=self.peers if has_peers else [],
+        )
+        (self.folder / name).write_bytes(orjson.dumps(content))
+
+    def reload(self, name, has_peers):
+        """Changes a node's file and reloads it."""
+        self.write(name, has_peers)
+        self.nodes[name].reload()
+
+    def reload_faulty(self, name):
+        """Reloads a node with a fault in its file: the settings must stay in force whole."""
+        file = self.folder / name
+        context = self.nodes[name].parts.host.dispatcher.context
+        before = context.uses_coordinators
+        faulty_settings = {**SETTINGS, "operations": OPERATIONS, "tickMs": -1}
+        file.write_bytes(orjson.dumps({**orjson.loads(file.read_bytes()), "settings": faulty_settings}))
+        self.nodes[name].reload()
+        assert context.uses_coordinators == before
+        assert context.settings.scheduling_interval == 50
+
+    def dispatchers(self):
+        """Returns the dispatchers of both nodes."""
+        return [one.parts.host.dispatcher for one in self.nodes.values()]
+
+    async def send_requests(self):
+        """Sends requests to both nodes while they reload, and returns the responses by identifier."""
+        responses = {}
+        for number in range(REQUESTS):
+            name = "ab"[number % 2]
+            operation = ("safe", "keyed", "unsafe")[number % 3]
+            request_id = f"{name}-{number}"
+            sending = send_last_request(self.addresses[name], operation, request_id)
+            responses[request_id] = asyncio.create_task(sending)
+            await asyncio.sleep(0.02)
+            # One node after the other, forth and back three times.
+            if number % RELOAD_CYCLE == 5:
+                self.reload("a", has_peers=number % (2 * RELOAD_CYCLE) == 5)
+            elif number % RELOAD_CYCLE == 9:
+                self.reload("b", has_peers=number % (2 * RELOAD_CYCLE) == 9)
+            elif number == 34:
+                self.reload_faulty("a")
+            self.leases_seen += sum(len(one.lending.leases) for one in self.dispatchers())
+        return {request_id: await response for request_id, response in responses.items()}
+
+    def assert_nothing_remains(self):
+        """Asserts that the nodes keep nothing of requests that are over."""
+        assert not any(one.context.uses_coordinators for one in self.dispatchers())
+        assert not any(one.parts.host.requests.pending for one in self.nodes.values())
+        assert not any(one.requests for one in self.dispatchers())
+        for dispatcher in self.dispatchers():
+            assert not any(endpoint.slots_in_use for endpoint in dispatcher.endpoints.healthy)
+
+    async def stop(self):
+        """Stops nodes and executors."""
+        for one in self.nodes.values():
+            one.stop()
+        await asyncio.gather(*self.serving)
+        for executor in self.executors:
+            executor.server.close()
+
+
+def test_settings_reload_forth_and_back_under_work_of_every_effect(tmp_path):
+    """Nodes reload again and again while they have requests, some queued, some on slots lent by the other.
+
+    A reload could lose requests, repeat them, or forget what is in flight or lent.
+    """
+
+    async def play():
+        pair = ReloadedPair(tmp_path)
+        await pair.start()
+        responses = await pair.send_requests()
+        assert pair.leases_seen
+        pair.assert_nothing_remains()
+        assert b" 404 " in await send_last_request(pair.addresses["a"], "more", "a-x")
+        await pair.stop()
+        return responses, sorted(job for executor in pair.executors for job in executor.jobs)
+
+    responses, jobs = asyncio.run(play())
+    for response in responses.values():
+        assert response.startswith(b"HTTP/1.1 200") and response.count(b"HTTP/1.1 ") == 1, responses
+    assert jobs == sorted(responses)  # each ran, and none twice
+
+
+def rules_of(table):
+    """Returns the endpoint table and the rules that it is put together of."""
+    return table, table.slow_start, table.credit, table.load, table.speeds, table.lateness, table.coordinators
+
+
+def settings_in_force(dispatcher):
+    """Returns all plain values that the parts of a dispatcher have copied from the settings."""
+    values = {}
+    for part in (*rules_of(dispatcher.endpoints), dispatcher.cutoffs, dispatcher.quotas):
+        for name, value in vars(part).items():
+            if isinstance(value, (int, float, str, bool)):
+                values[type(part).__name__, name] = value
+    settings = dispatcher.context.settings
+    values |= settings._replace(operations=None, peer_operations=None)._asdict()
+    values["coordinators"] = dispatcher.context.uses_coordinators
+    return (
+        values,
+        [operation.name for operation in settings.peer_operations],
+        dispatcher.quotas.tenants,
+        dispatcher.quotas.quotas,
+        sorted(dispatcher.endpoints.groups),
+    )
+
+
+def fresh_dispatcher(settings):
+    """Returns a dispatcher that was started with these settings and knows one endpoint."""
+    dispatcher = configuration.open_dispatcher("1", settings)
+    row = EndpointRow("s-1", "b", "m", 0, "healthy", 0, 1)
+    dispatcher.handle(10, EndpointsChanged(True, [row]))
+    return dispatcher
+
+
+def test_a_reload_takes_every_setting_over_and_back():
+    """A part copies a setting at the start and keeps it.
+
+    After a reload half of the old settings would stay in force.
+    """
+    first = configuration.terms(orjson.loads(orjson.dumps(SETTINGS)))
+    second = configuration.terms(
+        {
+            **SETTINGS,
+            "balancers": 70,
+            "me": 3,
+            "tickMs": 4,
+            "zone": "b",
+            "operations": [*OPERATIONS, FURTHER_OPERATION],
+            "limits": {
+                "maxForwards": 3,
+                "mayCancel": True,
+                "retryAfter": True,
+                "maxRetryAfterMs": 900,
+                "probes": True,
+                "peerMessages": True,
+                "maxOpen": 99,
+            },
+            "prices": {"crossZone": 0.1},
+            "registryMode": "ask",
+            "rules": {
+                "coldFrom": 0.2,
+                "rampTimeMs": 900,
+                "tipAfterMs": 500,
+                "fallMultiple": 2,
+                "drainGraceMs": 50,
+            },
+            "familyInfo": {"tellsStart": True, "progressMs": 700},
+            "parties": [{"name": "t", "quotaRps": 9}],
+            "billedValueBy": "work",
+        }
+    )
+    dispatcher = fresh_dispatcher(first)
+    for settings in (second, first, second):
+        expected = settings_in_force(fresh_dispatcher(settings))
+        assert settings_in_force(dispatcher) != expected
+        reload(20, dispatcher, configuration.open_dispatcher("1", settings))
+        assert settings_in_force(dispatcher) == expected
+
+
+FAULTY_FILES = (
+    # (text or content of the file, None for no file; what the log says)
+    ("{", "not JSON"),
+    ("[]", "not an object"),
+    (None, "cannot be read"),
+    (
+        node_file_with(("settings", "rules", "rampTimeMs"), None),
+        "settings.rules.rampTimeMs is missing",
+    ),
+    (node_file_with(("settings", "operations", 0, "idempotency"), "sfae"), "idempotency is unknown"),
+    (node_file_with(("settings", "limits"), {"peerMessages": 1}), "settings.limits.peerMessages"),
+    (node_file_with(("settings", "balancers"), 0), "settings.balancers is out of its range"),
+    (node_file_with(("peers",), ["127.0.0.1:0"]), "peers[0] is not host:port"),
+)
+
+
+def test_a_reload_with_a_fault_names_its_key_and_changes_nothing(tmp_path):
+    file = tmp_path / "config.json"
+    lines = []
+    sound_text = orjson.dumps(node_file(known={"index": 1, "endpoints": [LISTED_ROW]}))
+    file.write_bytes(sound_text)
+
+    async def play():
+        read = reader_of(file)
+        reloaded = assemble(asyncio.get_running_loop(), read(), read)
+        reloaded.phase = node.Phase.SERVING
+        rules = rules_of(reloaded.parts.host.dispatcher.endpoints)
+        before = [vars(rule).copy() for rule in rules]
+        for content, words in FAULTY_FILES:
+            file.unlink(missing_ok=True)
+            if content is not None:
+                file.write_bytes(content.encode() if isinstance(content, str) else orjson.dumps(content))
+            reloaded.reload()
+            assert "reload refused" in lines[-1] and words in lines[-1], lines[-1]
+            assert not reloaded.parts.batch.events and [vars(rule) for rule in rules] == before
+        file.write_bytes(sound_text)
+        reloaded.reload()
+        assert "settings as before" in lines[-1] and not reloaded.parts.batch.events
+
+    sink = logger.add(lambda text: lines.append(str(text)))
+    try:
+        asyncio.run(play())
+    finally:
+        logger.remove(sink)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at a start and a stop, and what still comes in meanwhile."""
+"""Signals at a start and a shutdown, and what still comes in meanwhile."""
 
 import asyncio
 import os
@@ -11,197 +11,255 @@
 
 import orjson
 import pytest
-from emulators import BlockingClient, DiscoveryEmulator, ExecutorEmulator, free_port, until
+from emulators import PATIENCE, BlockingClient, DiscoveryEmulator, ExecutorEmulator, free_port, until
 from node_harness import SETTINGS, NodeHarness
 
 from grebedyke.service import node
 
+MAX_DESCRIPTORS = 256
+# More connections than the program has descriptors.
+CROWD = 300
 
-def program(tmp_path, said, shell=False, preexec_fn=None, **more):
-    file = tmp_path / "config.json"
-    file.write_bytes(orjson.dumps(said))
-    with open("deploy/balancer.toml") as deploy:
-        run = re.search(r'^run = "(.*)"$', deploy.read(), re.M)[1].replace(".venv/bin/python", sys.executable)
-    return subprocess.Popen(
-        ["/bin/sh", "-c", run] if shell else [sys.executable, "-m", "grebedyke"],
-        stderr=subprocess.PIPE,
-        text=True,
-        preexec_fn=preexec_fn,
-        env={**os.environ, "BALANCER_CONFIG": str(file), **more},
-    ), file
 
+class Program:
+    """The program as a process; a context manager that kills it at the end.
 
-def told(**more):
+    Attributes:
+        file: Its configuration file.
+        process: The process.
+    """
+
+    def __init__(self, folder, content, in_shell=False, max_descriptors=None, **environ):
+        self.file = folder / "config.json"
+        self.write(content)
+        command = [sys.executable, "-m", "grebedyke"]
+        if in_shell:
+            command = ["/bin/sh", "-c", deployed_command()]
+        limits = (max_descriptors, max_descriptors)
+        self.process = subprocess.Popen(
+            command,
+            stderr=subprocess.PIPE,
+            text=True,
+            preexec_fn=max_descriptors and (lambda: resource.setrlimit(resource.RLIMIT_NOFILE, limits)),
+            env={**os.environ, "BALANCER_CONFIG": str(self.file), **environ},
+        )
+
+    def write(self, content):
+        """Writes the configuration file."""
+        self.file.write_bytes(orjson.dumps(content))
+
+    async def exit_code(self):
+        """Waits for the program's end and returns its exit code."""
+        return await asyncio.to_thread(self.process.wait, PATIENCE)
+
+    def __enter__(self):
+        return self
+
+    def __exit__(self, *_):
+        self.process.kill()
+        self.process.wait()
+        self.process.stderr.close()
+
+
+def deployed_command():
+    """Returns the command by which operators start the program, with this interpreter."""
+    with open("deploy/balancer.toml") as file:
+        command = re.search(r'^run = "(.*)"$', file.read(), re.M)[1]
+    return command.replace(".venv/bin/python", sys.executable)
+
+
+def node_file(**changes):
+    """Returns the content of a node's file, with other top-level keys as given."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:%d" % free_port(),
         "discovery": "127.0.0.1:%d" % free_port(),
         "settings": SETTINGS,
-        **more,
+        **changes,
     }
 
 
-def test_a_reload_that_is_told_before_the_program_has_begun_does_not_end_it(tmp_path):
-    # In the interpreter's own start SIGHUP ends a process, for a tenth of a second: `run` ignores it before.
-    work, _ = program(tmp_path, told(), shell=True)
-    try:
-        end = time.monotonic() + 20
-        while not open(f"/proc/{work.pid}/cmdline", "rb").read().startswith(sys.executable.encode()):
+def test_a_reload_signal_before_the_program_has_begun_does_not_end_it(tmp_path):
+    """SIGHUP comes in the interpreter's own start.
+
+    There it ends a process, for a tenth of a second: the deployed command ignores it before.
+    """
+    with Program(tmp_path, node_file(), in_shell=True) as program:
+        process = program.process
+        end = time.monotonic() + PATIENCE
+        while not open(f"/proc/{process.pid}/cmdline", "rb").read().startswith(sys.executable.encode()):
             assert time.monotonic() < end  # the shell is still there
-        work.send_signal(signal.SIGHUP)
-        assert any("-> serving" in line for line in work.stderr)
-        work.send_signal(signal.SIGTERM)
-        assert work.wait(20) == 0
-    finally:
-        work.kill()
-        work.wait()
-        work.stderr.close()
+        process.send_signal(signal.SIGHUP)
+        assert any("-> serving" in line for line in process.stderr)
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(PATIENCE) == 0
 
 
 def test_a_discovery_that_moves_during_the_start_is_followed(tmp_path):
-    # The signal is disregarded then; settings and peers were alike in the file, so nothing was done.
-    async def story():
-        old, new = await DiscoveryEmulator().start(), await DiscoveryEmulator().start()
-        said = told(discovery=old.address)
-        work, file = program(tmp_path, said, BALANCER_DISCOVERY=old.address)
-        try:
-            await until(lambda: old.polls, "the first call, in the start")
-            file.write_bytes(orjson.dumps({**said, "discovery": new.address}))
-            work.send_signal(signal.SIGHUP)
+    """Discovery's address changes in the file while the program starts.
+
+    The signal is disregarded then; settings and peers were alike in the file, so nothing was done.
+    """
+
+    async def play():
+        old = await DiscoveryEmulator().start()
+        new = await DiscoveryEmulator().start()
+        content = node_file(discovery=old.address)
+        with Program(tmp_path, content, BALANCER_DISCOVERY=old.address) as program:
+            await until(lambda: old.polls, "the first poll, in the start")
+            program.write({**content, "discovery": new.address})
+            program.process.send_signal(signal.SIGHUP)
             old.answer(1)
             await until(lambda: new.polls, "the new discovery")
-            work.send_signal(signal.SIGTERM)
-            return await asyncio.to_thread(work.wait, 20)
-        finally:
-            work.kill()
-            work.wait()
-            work.stderr.close()
-            old.server.close(), new.server.close()
+            program.process.send_signal(signal.SIGTERM)
+            exit_code = await program.exit_code()
+        old.server.close()
+        new.server.close()
+        return exit_code
 
-    assert asyncio.run(story()) == 0
+    assert asyncio.run(play()) == 0
 
 
 @pytest.mark.parametrize("number", (signal.SIGTERM, signal.SIGINT))
-def test_a_node_that_is_told_to_end_in_its_start_ends_with_0(tmp_path, number):
-    async def story():
+def test_a_node_that_is_to_end_in_its_start_ends_with_0(tmp_path, number):
+    async def play():
         discovery = await DiscoveryEmulator().start()
-        work, _ = program(tmp_path, told(discovery=discovery.address))
-        try:
-            await until(lambda: discovery.polls, "the first call, in the start")
-            work.send_signal(number)
-            work.send_signal(number)
-            return await asyncio.to_thread(work.wait, 20)
-        finally:
-            work.kill()
-            work.wait()
-            work.stderr.close()
-            discovery.server.close()
+        with Program(tmp_path, node_file(discovery=discovery.address)) as program:
+            await until(lambda: discovery.polls, "the first poll, in the start")
+            program.process.send_signal(number)
+            program.process.send_signal(number)
+            exit_code = await program.exit_code()
+        discovery.server.close()
+        return exit_code
 
-    assert asyncio.run(story()) == 0
+    assert asyncio.run(play()) == 0
 
 
 def test_a_signal_between_listening_and_serving_is_an_orderly_stop():
-    # What was taken in between was lost with the program.
-    async def story():
+    """SIGTERM comes when the node listens already and does not serve yet.
+
+    What it had taken in between was lost with the program.
+    """
+
+    async def play():
         executor = await ExecutorEmulator().start()
         harness = NodeHarness(executor.row(), waits=False)
         async with harness:
-            listen, clients = harness.listener.listen, []
+            listen = harness.listener.listen
+            clients = []
 
-            async def listening(*args):
-                await listen(*args)
+            async def listen_and_stop(*arguments):
+                await listen(*arguments)
                 clients.append(BlockingClient(harness.address).send_request())
                 await until(lambda: b"r1" in harness.host.requests.pending, "that it is taken")
                 os.kill(os.getpid(), signal.SIGTERM)
                 await until(lambda: harness.node.is_stop_requested, "the signal")
 
-            harness.listener.listen = listening
-            await until(lambda: harness.node.phase == node.Phase.STOPPING, "the stop")
-            await until(lambda: executor.received, "the forward")
+            harness.listener.listen = listen_and_stop
+            await until(lambda: harness.node.phase == node.Phase.STOPPING, "the shutdown")
+            await until(lambda: executor.received, "the attempt")
             await harness.call_back("done")
-            answer = await clients[0].response()
+            response = await clients[0].response()
             clients[0].leave()
-            await asyncio.wait_for(harness.serving, 20)
+            await asyncio.wait_for(harness.serving, PATIENCE)
         executor.server.close()
-        return answer
+        return response
+
+    assert b" 200 " in asyncio.run(play())
+
 
-    assert b" 200 " in asyncio.run(story())
+@pytest.mark.parametrize("bytes_before", (0, 20))
+def test_a_request_half_read_or_just_accepted_is_waited_for_by_a_shutdown(bytes_before):
+    """A client has connected, or sent a part of its request, when the node is told to end.
 
+    It is neither an idle client nor one that waits for an answer: the node ended between two bytes of it.
+    """
 
-def test_an_invocation_half_read_or_just_accepted_is_waited_for_by_a_stop():
-    # Neither is an idle client nor owed an answer: the node ended between two bytes of it.
-    async def story(half):
+    async def play():
         executor = await ExecutorEmulator().start()
         async with NodeHarness(executor.row()) as harness:
-            client, head = BlockingClient(harness.address), BlockingClient.request_head("r1", 3) + b"abc"
-            client.socket.sendall(head[:half])
+            client = BlockingClient(harness.address)
+            message = BlockingClient.request_head("r1", 3) + b"abc"
+            client.socket.sendall(message[:bytes_before])
             await until(lambda: harness.listener.connections.accepted, "the connection")
             shutdown = harness.node.shutdown
-            wind_down, looked = shutdown.wind_down, []
-            shutdown.wind_down = lambda *args: (looked.append(1), wind_down(*args))
+            wind_down = shutdown.wind_down
+            looks = []
+
+            def wind_down_and_record(*arguments):
+                looks.append(arguments)
+                wind_down(*arguments)
+
+            shutdown.wind_down = wind_down_and_record
             harness.node.stop()
-            await until(lambda: len(looked) > 1 or harness.serving.done(), "a look at the end")
-            client.socket.sendall(head[half:])
-            await until(lambda: executor.received, "the forward")
+            await until(lambda: len(looks) > 1 or harness.serving.done(), "a look at the end")
+            client.socket.sendall(message[bytes_before:])
+            await until(lambda: executor.received, "the attempt")
             await harness.call_back("done")
-            answer = await client.response()
+            response = await client.response()
             client.leave()
         executor.server.close()
-        return answer
+        return response
 
-    for half in (0, 20):
-        assert b" 200 " in asyncio.run(story(half))
+    assert b" 200 " in asyncio.run(play())
 
 
-def test_what_comes_after_the_last_moment_is_told_to_go_elsewhere():
-    # In the 20 ms before the loop ends it was taken, sent on perhaps, and dropped; or errored at once.
-    async def story():
+def test_what_comes_after_the_last_moment_is_sent_elsewhere():
+    """A request comes in the 20 ms between the node's end and the event loop's.
+
+    It was taken, sent on perhaps, and dropped; or answered with an error at once.
+    """
+
+    async def play():
         executor = await ExecutorEmulator().start()
         async with NodeHarness(executor.row()) as harness:
             client = BlockingClient(harness.address)
             await until(lambda: harness.listener.connections.accepted, "the connection")
             harness.node.stop()
-            close, closed = harness.node.close, []
+            close = harness.node.close
+            closed = []
             harness.node.close = lambda: closed.append(1)
             harness.node.finish()
             client.send_request()
-            answer = await client.response()
+            response = await client.response()
             client.leave()
             await until(lambda: closed, "the loop's end")
             close()
         executor.server.close()
-        return answer, executor.received
+        return response, executor.received
 
-    answer, seen = asyncio.run(story())
-    assert b" 503 " in answer and b"Connection: close" in answer and not seen
+    response, received = asyncio.run(play())
+    assert b" 503 " in response and b"Connection: close" in response and not received
 
 
 def test_a_crowd_of_silent_connections_does_not_stop_accepting(tmp_path):
-    # They came while the node stood still, more than it has descriptors: asyncio's server met the limit, took
-    # nobody for a second and again, and a client that had sent its invocation was never read.
-    async def story():
+    """The program stands still, and more connections come than it has descriptors.
+
+    asyncio's server met the limit, accepted nobody for a second and again, and a client that had sent its
+    request was never read.
+    """
+
+    async def play():
         executor = await ExecutorEmulator().start()
-        said = told(known={"index": 1, "endpoints": [executor.row()]}, limits={"sockets": 256})
-        limit = resource.RLIMIT_NOFILE, (256, 256)
-        work, _ = program(tmp_path, said, preexec_fn=lambda: resource.setrlimit(*limit))
-        crowd, address = [], ("127.0.0.1", int(said["listen"].rpartition(":")[2]))
-        try:
-            while "-> serving" not in await asyncio.to_thread(work.stderr.readline):
+        content = node_file(
+            known={"index": 1, "endpoints": [executor.row()]}, limits={"sockets": MAX_DESCRIPTORS}
+        )
+        address = ("127.0.0.1", int(content["listen"].rpartition(":")[2]))
+        with Program(tmp_path, content, max_descriptors=MAX_DESCRIPTORS) as program:
+            process = program.process
+            while "-> serving" not in await asyncio.to_thread(process.stderr.readline):
                 pass
-            work.send_signal(signal.SIGSTOP)
-            crowd += [BlockingClient(address) for _ in range(300)]
+            process.send_signal(signal.SIGSTOP)
+            crowd = [BlockingClient(address) for _ in range(CROWD)]
             crowd.append(BlockingClient(address).send_request())
-            work.send_signal(signal.SIGCONT)
-            await until(lambda: executor.received, "the forward")
-            work.send_signal(signal.SIGTERM)
+            process.send_signal(signal.SIGCONT)
+            await until(lambda: executor.received, "the attempt")
+            process.send_signal(signal.SIGTERM)
             for client in crowd:
                 client.leave()
-            assert await asyncio.to_thread(work.wait, 20) == 0
-            return [line for line in work.stderr if "loop-fault" in line or "accept" in line]
-        finally:
-            work.kill()
-            work.wait()
-            work.stderr.close()
-            executor.server.close()
-
-    assert asyncio.run(story()) == []
+            assert await program.exit_code() == 0
+            faults = [line for line in process.stderr if "loop-fault" in line or "accept" in line]
+        executor.server.close()
+        return faults
+
+    assert asyncio.run(play()) == []
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -2,69 +2,97 @@
 
 import asyncio
 
-from emulators import BlockingClient, ExecutorEmulator, until
+from emulators import PATIENCE, BlockingClient, ExecutorEmulator, until
 from node_harness import NodeHarness
 
 
-def test_an_heir_that_dies_at_once_leaves_the_old_process_with_its_call_backs(tmp_path):
-    # The old one had closed its listener for the heir's sake: no call-back reached it, and what it owed was
-    # answered as errored at the end of its time.
-    async def story():
+async def until_successor_serves(old):
+    """Waits until a process knows that its successor serves."""
+    await until(lambda: old.node.parts.hot_restart.successor_is_ready, "the successor")
+
+
+def kill(harness):
+    """Ends a process as its death would: the channel, the listener and what it has."""
+    parts = harness.node.parts
+    parts.hot_restart.predecessor.close()
+    harness.listener.close()
+    harness.serving.cancel()
+    parts.hot_restart.close()
+    parts.discovery.close()
+
+
+def test_a_successor_that_dies_at_once_leaves_the_old_process_with_its_call_backs(tmp_path):
+    """The old process gives its queue of connections to the successor, and that dies.
+
+    The old one had closed its listener for the successor's sake: no call-back reached it, and its open
+    requests failed at the end of their time.
+    """
+
+    async def play():
         executor = await ExecutorEmulator().start()
         old = NodeHarness(executor.row(), folder=str(tmp_path))
         async with old:
             client = BlockingClient(old.address).send_request()
-            await until(lambda: executor.received, "the forward")
-            heir = NodeHarness(executor.row(), folder=str(tmp_path), listen="%s:%d" % old.address)
-            await heir.__aenter__()
-            await until(lambda: old.node.parts.hot_restart.successor_is_ready, "the heir")
+            await until(lambda: executor.received, "the attempt")
+            successor = NodeHarness(executor.row(), folder=str(tmp_path), listen="%s:%d" % old.address)
+            await successor.__aenter__()
+            await until_successor_serves(old)
             old.node.stop()
-            await until(lambda: not old.listener.server, "the queue given over")
-            # As at its death: the channel, the listener and what it has.
-            heir.node.parts.hot_restart.predecessor.close()
-            heir.listener.close()
-            heir.serving.cancel()
-            heir.node.parts.hot_restart.close()
-            heir.node.parts.discovery.close()
+            await until(lambda: not old.listener.server, "the queue handed over")
+            kill(successor)
             await until(lambda: old.listener.server, "a listener again")
             await old.call_back("done")
-            answer = await client.response()
+            response = await client.response()
             client.leave()
-            await asyncio.wait_for(old.serving, 20)
+            await asyncio.wait_for(old.serving, PATIENCE)
         executor.server.close()
-        return answer
+        return response
+
+    assert b" 200 " in asyncio.run(play())
+
 
-    assert b" 200 " in asyncio.run(story())
+def test_a_client_that_left_in_the_hot_restart_is_no_client_of_the_successor(tmp_path):
+    """A client sends a request and closes while its connection goes to the successor.
 
+    That one reads both at once, and must not send the request to an executor.
+    """
 
-def test_a_client_that_left_in_the_handover_is_no_client_of_the_heir(tmp_path):
-    async def story():
+    async def play():
         executor = await ExecutorEmulator().start()
         old = NodeHarness(executor.row(), folder=str(tmp_path))
         async with old:
             client = BlockingClient(old.address).send_request()
-            await until(lambda: executor.received, "the forward")
+            await until(lambda: executor.received, "the attempt")
             await old.call_back("done")
             assert b" 200 " in await client.response()
             async with NodeHarness(
                 executor.row(), folder=str(tmp_path), listen="%s:%d" % old.address, gated=[executor.address]
-            ) as heir:
-                await until(lambda: old.node.parts.hot_restart.successor_is_ready, "the heir")
-                adopt, adopted = heir.listener.adopt, []
+            ) as successor:
+                await until_successor_serves(old)
+                adopt = successor.listener.adopt
+                adopted = []
+
+                async def adopt_after_the_close(**connection):
+                    client.send_request("r2").leave()  # with the kernel before the successor has it
+                    adopted.append(await adopt(**connection))
+
+                accept = successor.listener.on_request
+                accepted = []
 
-                async def adopting(**what):
-                    client.send_request("r2").leave()  # with the kernel before the heir has the connection
-                    adopted.append(await adopt(**what))
+                def accept_and_record(connection, incoming):
+                    accepted.append(incoming.request_id)
+                    accept(connection, incoming)
 
-                take, taken = heir.listener.on_request, []
-                heir.listener.on_request = lambda *what: (taken.append(what[1].request_id), take(*what))
-                heir.listener.adopt = adopting
+                successor.listener.on_request = accept_and_record
+                successor.listener.adopt = adopt_after_the_close
                 old.node.stop()
                 await until(lambda: adopted, "the connection handed over")
-                await until(lambda: taken and not heir.listener.connections.accepted, "its close")
-                heir.gate.opened.set()
-            await asyncio.wait_for(old.serving, 20)
+                await until(
+                    lambda: accepted and not successor.listener.connections.accepted, "the client's close"
+                )
+                successor.gate.opened.set()
+            await asyncio.wait_for(old.serving, PATIENCE)
         executor.server.close()
         return executor.received
 
-    assert asyncio.run(story()) == [b"r1"]
+    assert asyncio.run(play()) == [b"r1"]
