--- a/benchmarks/peer_traffic.py
+++ b/benchmarks/peer_traffic.py
@@ -68,12 +68,13 @@
         return [self._limit(index) for index in range(self.limit_count)]
 
     def _limit(self, index):
-        name, operation = f"l{index}", f"op{index}"
+        name = f"l{index}"
+        operation = f"op{index}"
         if index % 2:
-            return Limit(
-                name, LimitKind.RATE, 100_000 * self.count, 4 * self.count, 100, None, operation, False
-            )
-        return Limit(name, LimitKind.CONCURRENCY, 4 * self.count, 0, 1, None, operation, False)
+            size = 100_000 * self.count
+            burst = 4 * self.count
+            return Limit(name, LimitKind.RATE, size=size, burst=burst, floor=100, operation=operation)
+        return Limit(name, LimitKind.CONCURRENCY, size=4 * self.count, floor=1, operation=operation)
 
     def work(self):
         """Offers a request of each limit to each node, four times a second."""
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -180,9 +180,9 @@
             )
         if self.many:
             limits = [
-                Limit(name, LimitKind.RATE, 100_000 * n, 4 * n, 100, None, f"op{i}", False)
+                Limit(name, LimitKind.RATE, size=100_000 * n, burst=4 * n, floor=100, operation=f"op{i}")
                 if i % 2
-                else Limit(name, LimitKind.CONCURRENCY, 4 * n, 0, 1, None, f"op{i}", False)
+                else Limit(name, LimitKind.CONCURRENCY, size=4 * n, floor=1, operation=f"op{i}")
                 for i, name in enumerate(names(self.many))
             ]
             terms = LeaseTerms(n, self.lease, self.drift, TICKS_PER_SECOND)
--- a/grebedyke/rate_limits/concurrency_limiter.py
+++ b/grebedyke/rate_limits/concurrency_limiter.py
@@ -11,8 +11,9 @@
 
     >>> from grebedyke.rate_limits.definitions import Limit, LimitKind
     >>> from grebedyke.rate_limits.lease_terms import LeaseTerms
-    >>> limit = Limit("l", LimitKind.CONCURRENCY, 10, 0, 1, None, None, False)
-    >>> limiter = ConcurrencyLimiter(limit, LeaseTerms(4, 800, 0.0, 98), 0)
+    >>> limit = Limit("l", LimitKind.CONCURRENCY, size=10, floor=1)
+    >>> terms = LeaseTerms(node_count=4, lease=800, clock_drift=0.0, run_on=98)
+    >>> limiter = ConcurrencyLimiter(limit, terms, now=0)
     >>> limiter.has_capacity(50), limiter.has_capacity(100)
     (False, True)
     >>> limiter.acquire(100)
--- a/grebedyke/rate_limits/definitions.py
+++ b/grebedyke/rate_limits/definitions.py
@@ -43,11 +43,11 @@
     name: str
     kind: LimitKind
     size: int
-    burst: int
-    floor: int
-    tenant: str | None
-    operation: str | None
-    soft: bool
+    burst: int = 0
+    floor: int = 0
+    tenant: str | None = None
+    operation: str | None = None
+    soft: bool = False
     on_retries: bool = False
 
     @property
--- a/grebedyke/rate_limits/settings.py
+++ b/grebedyke/rate_limits/settings.py
@@ -80,28 +80,28 @@
     problem: str
 
 
-def check(section, fleet, nodes, operations, tenants, wait):
+def check(section, fleet, node_count, operations, tenants, answer_timeout_ms):
     """Checks a section that has the form of `SECTION` against the rest of the configuration.
 
     Args:
         section: The section `shares`.
         fleet: The section `fleet`, None where there is none.
-        nodes: How many nodes the fleet has.
+        node_count: How many nodes the fleet has.
         operations: Names of all operations.
         tenants: Names of all tenants.
-        wait: Milliseconds that the fleet's nodes wait for each other's answers.
+        answer_timeout_ms: How long the fleet's nodes wait for each other's answers.
 
     Raises:
         ConfigurationError: The section cannot be used; the message says why.
     """
     if fleet is None:
         raise ConfigurationError("setting fleet is missing, which shares needs", ["fleet"])
-    if section["leaseMs"] < 4 * wait:
+    if section["leaseMs"] < 4 * answer_timeout_ms:
         raise ConfigurationError(
             f"setting shares.leaseMs is under four times fleet.waitMs: {section['leaseMs']:g}",
             ["shares", "leaseMs"],
         )
-    deployment = Deployment(nodes, operations, tenants)
+    deployment = Deployment(node_count, operations, tenants)
     earlier = []
     for index, row in enumerate(section["limits"]):
         _check_row(index, row, deployment, earlier)
--- a/grebedyke/rate_limits/token_bucket.py
+++ b/grebedyke/rate_limits/token_bucket.py
@@ -19,8 +19,9 @@
 
     >>> from grebedyke.rate_limits.definitions import Limit, LimitKind
     >>> from grebedyke.rate_limits.lease_terms import LeaseTerms
-    >>> limit = Limit("l", LimitKind.RATE, 8_000, 8, 1_000, None, None, False)
-    >>> bucket = TokenBucket(limit, LeaseTerms(4, 800, 0.0, 0), 0)
+    >>> limit = Limit("l", LimitKind.RATE, size=8_000, burst=8, floor=1_000)
+    >>> terms = LeaseTerms(node_count=4, lease=800, clock_drift=0.0, run_on=0)
+    >>> bucket = TokenBucket(limit, terms, now=0)
     >>> bucket.has_capacity(9_900), bucket.has_capacity(10_010)
     (False, True)
     >>> bucket.receive_share(10_010, 4_000, 30_000)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -341,7 +341,7 @@
 async def waits_for_a_slot(number):
     """What is over a limit is answered at once and never held: a place that this program does not have."""
     async with Scene(2) as scene:
-        limit = Limit("l", LimitKind.CONCURRENCY, 1, 0, 0, None, None, False)
+        limit = Limit("l", LimitKind.CONCURRENCY, size=1)
         terms = LeaseTerms(node_count=1, lease=1_000_000, clock_drift=0.02, run_on=500)
         limiter = RequestLimiter([limit], terms, scene.place.turn.clock())
         limiter.meters[limit.wire_id].receive_share(scene.place.turn.clock(), 1, 1 << 60)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -30,7 +30,7 @@
 from grebedyke.rig.judge import Judge
 
 # Ten requests a second, a burst of ten.
-LIMIT = Limit("l", LimitKind.RATE, 10_000, 10, 0, None, None, False)
+LIMIT = Limit("l", LimitKind.RATE, size=10_000, burst=10)
 
 # Drawn rounds.
 
@@ -120,21 +120,25 @@
 
 def a_restart_brings_no_burst():
     """Else a process that is restarted often would admit a burst each time."""
-    limit = Limit("l", LimitKind.RATE, 8_000, 80, 1_000, None, None, False)
-    bucket = TokenBucket(limit, LeaseTerms(4, 800, 0.02, 0), 50)
+    limit = Limit("l", LimitKind.RATE, size=8_000, burst=80, floor=1_000)
+    bucket = TokenBucket(limit, LeaseTerms(node_count=4, lease=800, clock_drift=0.02, run_on=0), 50)
     return not bucket.has_capacity(60)
 
 
 def slots_of_a_former_process_are_waited_out():
     """What a former process admitted under the floor may still run on executors."""
-    limit = Limit("l", LimitKind.CONCURRENCY, 8, 0, 1, None, None, False)
-    limiter = ConcurrencyLimiter(limit, LeaseTerms(4, 800, 0.02, 500), 1_000)
+    limit = Limit("l", LimitKind.CONCURRENCY, size=8, floor=1)
+    limiter = ConcurrencyLimiter(
+        limit, LeaseTerms(node_count=4, lease=800, clock_drift=0.02, run_on=500), 1_000
+    )
     return not limiter.has_capacity(1_500) and limiter.has_capacity(1_530)
 
 
 def what_may_have_been_received_counts():
     """Three requests of one process, whose answers may all be under way (100, 55, 55); then another one's."""
-    table = AllocationTable(LimitKind.RATE, 100, 0, AllocationTimes(1, 1_000, 0))
+    table = AllocationTable(
+        LimitKind.RATE, 100, 0, AllocationTimes(recompute_interval=1, grant_lifetime=1_000, run_on=0)
+    )
     table.record_usage(0, "a", 0, 100, 0)
     table.record_usage(0, "b", 0, 0, 0)
     first = table.grant(0, "a", 1)
@@ -228,9 +232,9 @@
         assert messages.encode(message) == wire_form
         assert messages.decode([*wire_form, "of a later build"]) == message
     limits = [
-        Limit("t", LimitKind.RATE, 30_000, 15, 1_000, "t", None, False),
-        Limit("pay", LimitKind.CONCURRENCY, 4, 0, 0, None, "confirm", True),
-        Limit("again", LimitKind.RATE, 5_000, 10, 0, None, "confirm", False, True),
+        Limit("t", LimitKind.RATE, size=30_000, burst=15, floor=1_000, tenant="t"),
+        Limit("pay", LimitKind.CONCURRENCY, size=4, operation="confirm", soft=True),
+        Limit("again", LimitKind.RATE, size=5_000, burst=10, operation="confirm", on_retries=True),
     ]
     assert fingerprint(limits) == fingerprint(limits[::-1]) == 2_002_233_227
     assert [limit.wire_id for limit in limits] == [11350, 3454, 754]
@@ -254,7 +258,7 @@
     policy = dispatcher(effect=Effect.IDEMPOTENT, back=20_000)
     policy.listed(10, True, rows("e1", "e2"))
     terms = LeaseTerms(node_count=1, lease=8_000, clock_drift=0.0, run_on=0)
-    pay = Limit("pay", LimitKind.CONCURRENCY, 1, 0, 1, None, "op", False)
+    pay = Limit("pay", LimitKind.CONCURRENCY, size=1, floor=1, operation="op")
     policy.quotas.limits = RequestLimiter([pay], terms, -100_000)
     policy.taken(100, "first", "op", "t", 50_000, 0, 1)
     assert first_of(policy, 100) == (Forward, "first")
@@ -268,7 +272,7 @@
     policy.taken(600, "fourth", "op", "t", 50_000, 0, 1)
     assert first_of(policy, 600) == (Forward, "fourth")
     # Retries have a limit of their own: without one left a request is given up at once.
-    again = Limit("again", LimitKind.RATE, 1_000, 1, 1_000, None, "op", False, True)
+    again = Limit("again", LimitKind.RATE, size=1_000, burst=1, floor=1_000, operation="op", on_retries=True)
     policy.quotas.limits = RequestLimiter([again], terms, 0)
     policy.taken(20_000, "fifth", "op", "t", 70_000, 0, 1)
     for now, attempt in ((20_000, 0), (20_100, 1)):
