--- a/grebedyke/model/in_flight.py
+++ b/grebedyke/model/in_flight.py
@@ -58,10 +58,10 @@
         self.again = any(f.endpoint.name == endpoint.name and not f.untold for f in owed.flights)
         owed.flights.append(self)
         owed.open += 1
-        endpoint.flights += 1
+        endpoint.open_attempts += 1
 
     def end(self):
         """Takes it out of the books of its request and its endpoint."""
         self.done = True
         self.owed.open -= 1
-        self.endpoint.flights -= 1
+        self.endpoint.open_attempts -= 1
--- a/grebedyke/service/fleet_assembly.py
+++ b/grebedyke/service/fleet_assembly.py
@@ -134,7 +134,7 @@
 
     def with_open_attempts(names):
         endpoints = node.pool.endpoints
-        return [name for name in names if name in endpoints and endpoints[name].flights]
+        return [name for name in names if name in endpoints and endpoints[name].open_attempts]
 
     return NodeAccess(
         send_datagram=node.peers.send,
@@ -167,7 +167,7 @@
 
 def connect_datagrams(peers, host):
     """Tells the components' datagrams from gossip by their first byte."""
-    receive_gossip = peers.heard
+    receive_gossip = peers.on_message
     component_prefix = bytes([framing.VERSION])
 
     def receive(now, sender, data):
@@ -176,8 +176,8 @@
         else:
             receive_gossip(now, sender, data)
 
-    peers.heard = receive
-    peers.largest = framing.LARGEST_DATAGRAM
+    peers.on_message = receive
+    peers.max_datagram_bytes = framing.LARGEST_DATAGRAM
 
 
 def connect_rate_limits(node, components):
