--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -196,7 +196,7 @@
     """The requests are over a limit: they are answered at once, since this program queues nothing there."""
     async with DepartureScene(2) as scene:
         clock = scene.harness.batch.clock
-        limit = Limit("l", LimitKind.CONCURRENCY, 1, 0, 0, None, None, False)
+        limit = Limit("l", LimitKind.CONCURRENCY, size=1)
         terms = LeaseTerms(node_count=1, lease=1_000_000, clock_drift=0.02, run_on=500)
         limiter = RequestLimiter([limit], terms, clock())
         limiter.meters[limit.wire_id].receive_share(clock(), 1, 1 << 60)
