--- a/grebedyke/service/assembly.py
+++ b/grebedyke/service/assembly.py
@@ -1,5 +1,6 @@
 """Puts a node's parts together."""
 
+import asyncio
 from functools import partial
 from typing import NamedTuple
 
@@ -21,9 +22,9 @@
 
 
 class _Core(NamedTuple):
-    """What the other parts of a node are built on."""
+    """What the other parts of a node are built on; see `NodeParts`."""
 
-    loop: object
+    loop: asyncio.AbstractEventLoop
     batch: BatchLoop
     metrics: Metrics
     pool: ExecutorPool
@@ -119,15 +120,15 @@
 
 
 def _discovery_client(core, configuration, settings):
-    endpoints = core.host.endpoints
+    endpoint_updates = core.host.endpoint_updates
     return DiscoveryClient(
         core.loop,
         core.batch,
         tuple(configuration["discovery"]),
         configuration["known"].get("index"),
         settings.discovery,
-        on_list=endpoints.on_list,
-        on_failure=endpoints.on_list_unavailable,
+        on_list=endpoint_updates.on_list,
+        on_failure=endpoint_updates.on_list_unavailable,
     )
 
 
@@ -144,7 +145,7 @@
 
 def _set_banned(host, messages, now, endpoint_id, is_banned):
     """Bans an endpoint in both processes of this node, or ends the ban."""
-    is_known = host.endpoints.set_banned(now, endpoint_id, is_banned)
+    is_known = host.endpoint_updates.set_banned(now, endpoint_id, is_banned)
     if is_known:
         messages.send_ban(endpoint_id, is_banned)
     return is_known
--- a/grebedyke/service/configuration_reload.py
+++ b/grebedyke/service/configuration_reload.py
@@ -1,6 +1,7 @@
 """Reloading: puts a changed configuration in force while the node runs."""
 
-from typing import NamedTuple
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 from loguru import logger
 
@@ -14,8 +15,8 @@
             anything has changed.
     """
 
-    sections: tuple
-    prepare: object
+    sections: tuple[str, ...]
+    prepare: Callable[[dict[str, Any]], Callable[[int], None]]
 
 
 class ConfigurationReload:
--- a/grebedyke/service/dispatcher_host.py
+++ b/grebedyke/service/dispatcher_host.py
@@ -21,7 +21,7 @@
         attempts: The `AttemptSender`.
         job_updates: The `JobUpdates`.
         probes: The `HealthProbes`.
-        endpoints: The `EndpointUpdates`.
+        endpoint_updates: The `EndpointUpdates`.
         peer_messenger: The `PeerMessenger`.
         discovery: The `DiscoveryClient`; set once it exists.
         performers: By type of action, the call that carries it out.
@@ -34,7 +34,7 @@
         self.attempts = AttemptSender(dispatcher, batch, pool, metrics, settings, self.requests)
         self.job_updates = JobUpdates(dispatcher, self.requests, self.attempts)
         self.probes = HealthProbes(dispatcher, batch, pool, metrics, settings)
-        self.endpoints = EndpointUpdates(dispatcher, pool, self.attempts)
+        self.endpoint_updates = EndpointUpdates(dispatcher, pool, self.attempts)
         self.peer_messenger = PeerMessenger(dispatcher)
         self.discovery = None
         self.performers = {
--- a/grebedyke/service/node.py
+++ b/grebedyke/service/node.py
@@ -111,7 +111,7 @@
         self.shutdown = GracefulShutdown(self, parts)
         # The endpoint list has Unix times, the dispatcher the monotonic clock's.
         unix_time = time.time_ns() // NANOSECONDS_PER_TICK
-        parts.host.endpoints.unix_time_offset = parts.batch.clock() - unix_time
+        parts.host.endpoint_updates.unix_time_offset = parts.batch.clock() - unix_time
 
     @property
     def configuration(self):
@@ -168,10 +168,10 @@
     async def _gather_state(self):
         """Learns what it can before it listens; returns the predecessor's listening socket or None."""
         parts = self.parts
-        endpoints = parts.host.endpoints
-        parts.batch.enqueue(endpoints.on_list_unavailable)
+        endpoint_updates = parts.host.endpoint_updates
+        parts.batch.enqueue(endpoint_updates.on_list_unavailable)
         known_rows = parse_endpoint_rows(self.configuration["known"])
-        parts.batch.enqueue(endpoints.on_list, True, known_rows)
+        parts.batch.enqueue(endpoint_updates.on_list, True, known_rows)
         # What a serving process knows goes before: the file's list may be old, and has no bans.
         listening_socket = await parts.hot_restart.inherit()
         if self.component_host:
--- a/grebedyke/service/process_messages.py
+++ b/grebedyke/service/process_messages.py
@@ -41,11 +41,11 @@
     def export_state(self):
         """Returns the fields of the state message, and the listening socket's descriptor."""
         listing = {"address": self.discovery.address, "index": self.discovery.version}
-        state = {"books": self.host.endpoints.export_state(), "listing": listing}
+        state = {"books": self.host.endpoint_updates.export_state(), "listing": listing}
         return state, self.listener.descriptor()
 
     def _import_state(self, message):
-        self.batch.enqueue(self.host.endpoints.import_state, message["books"])
+        self.batch.enqueue(self.host.endpoint_updates.import_state, message["books"])
         listing = message["listing"]
         # Versions of another discovery would mean other lists.
         is_same_discovery = tuple(listing["address"]) == self.discovery.address
@@ -93,4 +93,4 @@
         self.loop.create_task(adoption)
 
     def _on_ban(self, name, out):
-        self.batch.enqueue(self.host.endpoints.set_banned, name, out)
+        self.batch.enqueue(self.host.endpoint_updates.set_banned, name, out)
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -3,12 +3,11 @@
 import asyncio
 
 from emulators import PATIENCE, BlockingClient, ConnectGate, free_port, open_sockets, until
+from node_files import checked_configuration, node_file
 from socketless_node import call_back_message
 
-from grebedyke.checks import checked
-from grebedyke.service import configuration, node
+from grebedyke.service import node
 from grebedyke.service.assembly import assemble
-from grebedyke.service.configuration.reading import NODE
 
 OPERATION = {
     "name": "op",
@@ -47,6 +46,7 @@
         listen: The node's address as "host:port", None for a free port.
         settings: Settings that differ from `SETTINGS`.
         long_poll_wait: Ticks that discovery may hold back an answer, None for the deployment's own.
+        configuration: The content of the node's file, as checked.
         address: Host and port of the client listener.
         node: The node; `host`, `batch`, `pool` and `listener` are its parts.
         gate: The `ConnectGate`, None without `gated`.
@@ -78,9 +78,9 @@
         self.sockets_before = open_sockets()
         loop = asyncio.get_running_loop()
         self.gate = ConnectGate(loop, *self.gated) if self.gated else None
-        self.said = self.node_configuration()
-        self.address = self.said["listen"]
-        self.node = assemble(loop, self.said, self.read_again or (lambda: self.said))
+        self.configuration = self.node_configuration()
+        self.address = self.configuration["listen"]
+        self.node = assemble(loop, self.configuration, self.read_again or (lambda: self.configuration))
         parts = self.node.parts
         self.host = parts.host
         self.batch = parts.batch
@@ -97,19 +97,16 @@
 
     def node_configuration(self):
         """Returns the checked content of the node's file."""
-        checked_file = checked(
-            NODE,
-            {
-                "name": "n1",
-                "listen": self.listen or "127.0.0.1:%d" % free_port(),
-                "discovery": self.discovery.address if self.discovery else "127.0.0.1:%d" % free_port(),
-                "known": {"index": 1, "endpoints": list(self.rows)},
-                "settings": {**SETTINGS, **self.settings},
-                "folder": self.folder,
-            },
+        discovery_address = self.discovery.address if self.discovery else "127.0.0.1:%d" % free_port()
+        return checked_configuration(
+            node_file(
+                listen=self.listen or "127.0.0.1:%d" % free_port(),
+                discovery=discovery_address,
+                known={"index": 1, "endpoints": list(self.rows)},
+                settings={**SETTINGS, **self.settings},
+                folder=self.folder,
+            )
         )
-        checked_file["settings"] = configuration.terms(checked_file["settings"])
-        return checked_file
 
     def set_response_timeout(self, ticks):
         """Shortens the time that an executor has to answer."""
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -24,10 +24,10 @@
         self.node = SocketlessNode()
         real_dispatcher = dispatcher()
         real_dispatcher.listed(NOW, True, rows("s-1", "s-2"))
-        self.node.host.endpoints.dispatcher = real_dispatcher
+        self.node.host.endpoint_updates.dispatcher = real_dispatcher
         self.endpoints = real_dispatcher.endpoints
         self.is_ready = True
-        set_banned = self.node.host.endpoints.set_banned
+        set_banned = self.node.host.endpoint_updates.set_banned
         self.api = AdminApi(self.node.batch, lambda: self.is_ready, set_banned, max_connections)
 
     def connect(self, data):
@@ -179,15 +179,15 @@
     node.send_request()
     node.forward()
     call = node.host.requests.pending[b"r1"].attempts[0].call
-    node.host.endpoints.set_banned(NOW, "s-2", True)
+    node.host.endpoint_updates.set_banned(NOW, "s-2", True)
     assert not call.ended
-    node.host.endpoints.set_banned(NOW, "s-1", True)
+    node.host.endpoint_updates.set_banned(NOW, "s-1", True)
     assert call.ended
     assert node.attempt_ends() == [(b"r1", 0, Outcome.NEVER_SENT, False)]
     # One that is with the kernel has begun there, and is let alone.
     node = SocketlessNode()
     node.send_request()
     node.forward()
-    node.host.endpoints.set_banned(NOW, "s-1", True)
+    node.host.endpoint_updates.set_banned(NOW, "s-1", True)
     assert REQUEST.endswith(b"abc") and node.connections[0].transport.written.endswith(b"abc")
     assert not node.attempt_ends()
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -238,8 +238,8 @@
         said["settings"] = configuration.terms(said["settings"])
         self.loop, self.node = loop, assemble(loop, said, lambda: said, clock=lambda: self.NOW)
         self.node.parts.batch.pass_times.extend([self.NOW] * 3)
-        self.node.parts.host.endpoints.unix_time_offset = self.NOW - 50_000
-        self.node.parts.host.endpoints.on_list(self.NOW, True, parse_endpoint_rows(known))
+        self.node.parts.host.endpoint_updates.unix_time_offset = self.NOW - 50_000
+        self.node.parts.host.endpoint_updates.on_list(self.NOW, True, parse_endpoint_rows(known))
         self.hot_restart = self.node.parts.hot_restart
 
     async def listen(self, inherited=None):
@@ -256,13 +256,13 @@
             end = AttemptEnded(id, 0, Outcome.CONNECT_FAILED, False, None)
             dispatcher.handle(now + i * TICKS_PER_SECOND + 5, end)
             self.decisions(now + i * TICKS_PER_SECOND + 5)
-        self.node.parts.host.endpoints.set_banned(now, "s-2", True)
+        self.node.parts.host.endpoint_updates.set_banned(now, "s-2", True)
 
     def decisions(self, now):
         return [*iter(partial(self.node.parts.host.dispatcher.next_action, now), None)]
 
     def books(self):
-        return self.node.parts.host.endpoints.export_state()
+        return self.node.parts.host.endpoint_updates.export_state()
 
     def banned(self):
         return sorted(self.node.parts.host.dispatcher.endpoints.banned)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -75,6 +75,27 @@
     asyncio.run(play())
 
 
+def process_in(folder, listening, calls, **handlers):
+    """Returns a process's side of a hot restart; `calls` gets its states and whether there is another."""
+    return HotRestart(
+        asyncio.get_running_loop(),
+        str(folder),
+        "n/1",
+        lambda: ({"list": [1]}, listening.fileno()),
+        {"books": calls.append, **handlers},
+        calls.append,
+    )
+
+
+async def assert_found_after_a_kill(folder, first, second):
+    """Asserts that the socket which a killed process leaves behind keeps no other from its start."""
+    first.close()
+    assert os.listdir(folder) == []
+    first.offer()
+    first.withdraw()
+    assert await second.inherit() is None
+
+
 def test_only_one_process_takes_over_and_malformed_messages_end_nothing(tmp_path):
     """Several processes want to take over, and one sends what cannot be understood.
 
@@ -84,23 +105,11 @@
     folder.mkdir()
 
     async def play():
-        loop = asyncio.get_running_loop()
         listening = socket.socket()
         calls = []
-
-        def process(**handlers):
-            return HotRestart(
-                loop,
-                str(folder),
-                "n/1",
-                lambda: ({"list": [1]}, listening.fileno()),
-                {"books": calls.append, **handlers},
-                calls.append,
-            )
-
-        first = process(hand=lambda name: calls.append(name))
-        second = process()
-        third = process()
+        first = process_in(folder, listening, calls, hand=lambda name: calls.append(name))
+        second = process_in(folder, listening, calls)
+        third = process_in(folder, listening, calls)
         assert await first.inherit() is None
         first.offer()
         inherited = await second.inherit()
@@ -123,12 +132,7 @@
         assert not first.successor_is_ready and first.server
         inherited.close()
         listening.close()
-        first.close()
-        assert os.listdir(folder) == []
-        # A killed process leaves its socket behind.
-        first.offer()
-        first.withdraw()
-        assert await second.inherit() is None
+        await assert_found_after_a_kill(folder, first, second)
 
     logger.remove()
     asyncio.run(play())
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -80,7 +80,7 @@
             await until(lambda: harness.gate.waiting == 1 and executor.writers, "the connect")
             executor.writers[0].close()
             await until(lambda: not harness.endpoint().connections, "that it is lost")
-            harness.host.endpoints.on_list(harness.batch.clock(), False, [other_row])
+            harness.host.endpoint_updates.on_list(harness.batch.clock(), False, [other_row])
             harness.gate.opened.set()
             await until(lambda: other.received or executor.received, "the next attempt")
             await harness.finish(client, name="s-2" if other.received else "s-1")
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -156,7 +156,7 @@
         listen="%s:%d" % (discovery.host_and_port[0], free_port()),
     )
     await harness.__aenter__()
-    harness.host.endpoints.list_listener = discovery.list_changed
+    harness.host.endpoint_updates.list_listener = discovery.list_changed
     if way == "moved":
         harness.node.parts.discovery.move(*discovery.host_and_port)
     with suppress(TimeoutError):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -20,6 +20,36 @@
 
 # An operation that only some of the files have.
 FURTHER_OPERATION = {**OPERATIONS[0], "name": "more"}
+# Settings that differ from `SETTINGS` in all that a reload may change.
+OTHER_SETTINGS = {
+    **SETTINGS,
+    "balancers": 70,
+    "me": 3,
+    "tickMs": 4,
+    "zone": "b",
+    "operations": [*OPERATIONS, FURTHER_OPERATION],
+    "limits": {
+        "maxForwards": 3,
+        "mayCancel": True,
+        "retryAfter": True,
+        "maxRetryAfterMs": 900,
+        "probes": True,
+        "peerMessages": True,
+        "maxOpen": 99,
+    },
+    "prices": {"crossZone": 0.1},
+    "registryMode": "ask",
+    "rules": {
+        "coldFrom": 0.2,
+        "rampTimeMs": 900,
+        "tipAfterMs": 500,
+        "fallMultiple": 2,
+        "drainGraceMs": 50,
+    },
+    "familyInfo": {"tellsStart": True, "progressMs": 700},
+    "parties": [{"name": "t", "quotaRps": 9}],
+    "billedValueBy": "work",
+}
 REQUESTS = 72
 # Each so many requests one of the nodes reloads.
 RELOAD_CYCLE = 12
@@ -233,37 +263,7 @@
     After a reload half of the old settings would stay in force.
     """
     first = configuration.terms(orjson.loads(orjson.dumps(SETTINGS)))
-    second = configuration.terms(
-        {
-            **SETTINGS,
-            "balancers": 70,
-            "me": 3,
-            "tickMs": 4,
-            "zone": "b",
-            "operations": [*OPERATIONS, FURTHER_OPERATION],
-            "limits": {
-                "maxForwards": 3,
-                "mayCancel": True,
-                "retryAfter": True,
-                "maxRetryAfterMs": 900,
-                "probes": True,
-                "peerMessages": True,
-                "maxOpen": 99,
-            },
-            "prices": {"crossZone": 0.1},
-            "registryMode": "ask",
-            "rules": {
-                "coldFrom": 0.2,
-                "rampTimeMs": 900,
-                "tipAfterMs": 500,
-                "fallMultiple": 2,
-                "drainGraceMs": 50,
-            },
-            "familyInfo": {"tellsStart": True, "progressMs": 700},
-            "parties": [{"name": "t", "quotaRps": 9}],
-            "billedValueBy": "work",
-        }
-    )
+    second = configuration.terms(OTHER_SETTINGS)
     dispatcher = fresh_dispatcher(first)
     for settings in (second, first, second):
         expected = settings_in_force(fresh_dispatcher(settings))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -107,6 +107,19 @@
             process.stderr.close()
 
 
+async def assert_connection_still_serves(address, connection, executor):
+    """Asserts that a second request is served on a connection shortly before the node's end.
+
+    A node's clients may have no other node, so what they have open serves until then.
+    """
+    await asyncio.sleep(0.7)
+    request = REQUEST.replace(b"r1", b"r2")
+    response = asyncio.create_task(send_message(address, request, connection))
+    await asyncio.wait_for(executor.received.get(), 2)
+    assert b" 204 " in await send_message(address, call_back_message("done", request_id="r2"))
+    assert b" 200 " in await response
+
+
 async def request_during_shutdown(calls_back):
     """A node is told to end while an executor has a request of it.
 
@@ -134,14 +147,8 @@
     if calls_back:
         result = call_back_message("done", more=',"result":"x"')
         assert b" 204 " in await send_message(address, result)
-        # A node's clients may have no other node: what they have open serves until shortly before the end.
         response = await first
-        await asyncio.sleep(0.7)
-        second_request = REQUEST.replace(b"r1", b"r2")
-        second = asyncio.create_task(send_message(address, second_request, connection))
-        await asyncio.wait_for(executor.received.get(), 2)
-        assert b" 204 " in await send_message(address, call_back_message("done", request_id="r2"))
-        assert b" 200 " in await second
+        await assert_connection_still_serves(address, connection, executor)
     else:
         response = await first
     await asyncio.wait_for(serving, 5)
@@ -175,11 +182,11 @@
 
 def test_a_restart_is_reported_on_the_dispatchers_clock():
     socketless = SocketlessNode()
-    socketless.host.endpoints.unix_time_offset = -5_000
+    socketless.host.endpoint_updates.unix_time_offset = -5_000
     rows = [
         ListedEndpoint("s-1", ("127.0.0.1", 9), "a", "m", 0, "healthy", since_ms, 1) for since_ms in (0, 700)
     ]
-    socketless.host.endpoints.on_list(0, True, rows)
+    socketless.host.endpoint_updates.on_list(0, True, rows)
     event = socketless.dispatcher.events[0]
     assert isinstance(event, EndpointsChanged)
     assert [row.started_at for row in event.rows] == [0, 2_000]
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -9,9 +9,10 @@
 import sys
 import time
 
+import node_files
 import orjson
 import pytest
-from emulators import PATIENCE, BlockingClient, DiscoveryEmulator, ExecutorEmulator, free_port, until
+from emulators import PATIENCE, BlockingClient, DiscoveryEmulator, ExecutorEmulator, until
 from node_harness import SETTINGS, NodeHarness
 
 from grebedyke.service import node
@@ -68,23 +69,12 @@
     return command.replace(".venv/bin/python", sys.executable)
 
 
-def node_file(**changes):
-    """Returns the content of a node's file, with other top-level keys as given."""
-    return {
-        "name": "n1",
-        "listen": "127.0.0.1:%d" % free_port(),
-        "discovery": "127.0.0.1:%d" % free_port(),
-        "settings": SETTINGS,
-        **changes,
-    }
-
-
 def test_a_reload_signal_before_the_program_has_begun_does_not_end_it(tmp_path):
     """SIGHUP comes in the interpreter's own start.
 
     There it ends a process, for a tenth of a second: the deployed command ignores it before.
     """
-    with Program(tmp_path, node_file(), in_shell=True) as program:
+    with Program(tmp_path, node_files.node_file(settings=SETTINGS), in_shell=True) as program:
         process = program.process
         end = time.monotonic() + PATIENCE
         while not open(f"/proc/{process.pid}/cmdline", "rb").read().startswith(sys.executable.encode()):
@@ -104,7 +94,7 @@
     async def play():
         old = await DiscoveryEmulator().start()
         new = await DiscoveryEmulator().start()
-        content = node_file(discovery=old.address)
+        content = node_files.node_file(settings=SETTINGS, discovery=old.address)
         with Program(tmp_path, content, BALANCER_DISCOVERY=old.address) as program:
             await until(lambda: old.polls, "the first poll, in the start")
             program.write({**content, "discovery": new.address})
@@ -124,7 +114,9 @@
 def test_a_node_that_is_to_end_in_its_start_ends_with_0(tmp_path, number):
     async def play():
         discovery = await DiscoveryEmulator().start()
-        with Program(tmp_path, node_file(discovery=discovery.address)) as program:
+        with Program(
+            tmp_path, node_files.node_file(settings=SETTINGS, discovery=discovery.address)
+        ) as program:
             await until(lambda: discovery.polls, "the first poll, in the start")
             program.process.send_signal(number)
             program.process.send_signal(number)
@@ -241,8 +233,10 @@
 
     async def play():
         executor = await ExecutorEmulator().start()
-        content = node_file(
-            known={"index": 1, "endpoints": [executor.row()]}, limits={"sockets": MAX_DESCRIPTORS}
+        content = node_files.node_file(
+            settings=SETTINGS,
+            known={"index": 1, "endpoints": [executor.row()]},
+            limits={"sockets": MAX_DESCRIPTORS},
         )
         address = ("127.0.0.1", int(content["listen"].rpartition(":")[2]))
         with Program(tmp_path, content, max_descriptors=MAX_DESCRIPTORS) as program:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -11,6 +11,19 @@
     await until(lambda: old.node.parts.hot_restart.successor_is_ready, "the successor")
 
 
+def record_requests(listener):
+    """Returns a list to which a client listener adds the identifier of each request from now on."""
+    accept = listener.on_request
+    accepted = []
+
+    def accept_and_record(connection, incoming):
+        accepted.append(incoming.request_id)
+        accept(connection, incoming)
+
+    listener.on_request = accept_and_record
+    return accepted
+
+
 def kill(harness):
     """Ends a process as its death would: the channel, the listener and what it has."""
     parts = harness.node.parts
@@ -76,14 +89,7 @@
                     client.send_request("r2").leave()  # with the kernel before the successor has it
                     adopted.append(await adopt(**connection))
 
-                accept = successor.listener.on_request
-                accepted = []
-
-                def accept_and_record(connection, incoming):
-                    accepted.append(incoming.request_id)
-                    accept(connection, incoming)
-
-                successor.listener.on_request = accept_and_record
+                accepted = record_requests(successor.listener)
                 successor.listener.adopt = adopt_after_the_close
                 old.node.stop()
                 await until(lambda: adopted, "the connection handed over")
