--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -14,7 +14,7 @@
 
 from grebedyke.rate_limits.definitions import MILLIREQUESTS_PER_REQUEST
 from grebedyke.testbed import simulated_limits
-from grebedyke.testbed.simulated_limits import LEASE, LIMITS, LimitedWorld, Sharing
+from grebedyke.testbed.simulated_limits import LEASE, LIMITS, LimitedCluster, Sharing
 from grebedyke.units import TICKS_PER_SECOND
 
 FAULTS = {
@@ -56,19 +56,19 @@
         used_before_faults=world.used_before_faults,
         used_amid_faults=world.used_amid_faults,
         used_in_calm=world.used_in_calm,
-        excess=max(-world.judge.least_tokens, 0),
-        excess_in_flight=max(world.judge.peak_in_flight - LIMITS.concurrency, 0),
+        excess=max(-world.checker.least_tokens, 0),
+        excess_in_flight=max(world.checker.peak_in_flight - LIMITS.concurrency, 0),
     )
 
 
 def steady_world(seed, demand_weights):
     """A fleet without faults whose demand is distributed by these weights."""
-    world = LimitedWorld(seed, faults=0)
-    for host in world.hosts:
-        world.later(world.random.randrange(1, TICKS_PER_SECOND), host.start)
+    world = LimitedCluster(seed, faults=0)
+    for host in world.nodes:
+        world.schedule(world.random.randrange(1, TICKS_PER_SECOND), host.start)
     world.demand_weights = demand_weights
     world.demand_is_fixed = True
-    world.later(1, world.work)
+    world.schedule(1, world.generate_load)
     world.run(15 * TICKS_PER_SECOND)
     return world
 
@@ -80,35 +80,37 @@
     rows = []
     for _ in range(16):
         world.run(world.now + LEASE // 4)
-        rows.append([active_rate(host) for host in world.hosts[:2]])
+        rows.append([active_rate(host) for host in world.nodes[:2]])
     return rows
 
 
 def active_rate(host):
     """A node's share of the first limit, in requests a second."""
-    meter = next(iter(host.parts[-1].request_limiter.meters.values()))
+    meter = next(iter(host.components[-1].request_limiter.meters.values()))
     return round(meter.active_share(host.clock()) / MILLIREQUESTS_PER_REQUEST)
 
 
 def use_after_loss(seed, loss):
     """Seconds until nine tenths of the limit are used again after a loss, and the least that was used."""
     world = steady_world(seed, [1] * 5)
-    holder = next(host for host in world.hosts if host.parts[-1].election.is_certain_holder(host.clock()))
+    holder = next(
+        host for host in world.nodes if host.components[-1].election.is_certain_holder(host.clock())
+    )
     if loss == "killed":
-        holder.end()
-        world.later(TICKS_PER_SECOND, holder.start)
+        holder.crash()
+        world.schedule(TICKS_PER_SECOND, holder.start)
     elif loss == "stopped for three leases":
-        holder.stopped = True
-        world.later(3 * LEASE, holder.go_on)
+        holder.is_paused = True
+        world.schedule(3 * LEASE, holder.resume)
     else:
-        for host in world.hosts:
-            host.end()
-            world.later(world.random.randrange(1, TICKS_PER_SECOND), host.start)
+        for host in world.nodes:
+            host.crash()
+            world.schedule(world.random.randrange(1, TICKS_PER_SECOND), host.start)
     start = world.now // TICKS_PER_SECOND
     world.run(world.now + 30 * TICKS_PER_SECOND)
-    if world.judge.broken:
-        raise click.ClickException(f"{loss}: {world.judge.broken[0]}")
-    used = [world.judge.admitted[start + second] / LIMITS.rate for second in range(1, 29)]
+    if world.checker.violations:
+        raise click.ClickException(f"{loss}: {world.checker.violations[0]}")
+    used = [world.checker.admitted[start + second] / LIMITS.rate for second in range(1, 29)]
     recovered = max((second for second, fraction in enumerate(used, 1) if fraction < 0.9), default=0)
     return recovered, min(used)
 
--- a/benchmarks/peer_traffic.py
+++ b/benchmarks/peer_traffic.py
@@ -11,15 +11,16 @@
 import click
 
 from grebedyke.rate_limits.definitions import Limit, LimitKind
-from grebedyke.testbed.simulated_cluster import Host, World
-from grebedyke.testbed.simulated_limits import LimitedRequest, LimitedWorld
+from grebedyke.testbed.simulated_cluster import SimulatedCluster
+from grebedyke.testbed.simulated_limits import LimitedCluster, LimitedRequest
+from grebedyke.testbed.simulated_node import SimulatedNode
 from grebedyke.units import TICKS_PER_SECOND
 
 MEASURED_SPAN = 20 * TICKS_PER_SECOND
 SETTLING_SPAN = 8 * TICKS_PER_SECOND
 
 
-class TimedHost(Host):
+class TimedHost(SimulatedNode):
     """A node that counts the CPU time of its components, without the simulated world's own work.
 
     Attributes:
@@ -43,16 +44,16 @@
             self._is_timing = False
             self.cpu_seconds += time.perf_counter() - start
 
-    def heard(self, by, message):
+    def receive(self, sender, message):
         """Passes a message to the components."""
-        self.timed(super().heard, by, message)
+        self.timed(super().receive, sender, message)
 
-    def pull(self):
+    def run_components(self):
         """Carries out what the components want done."""
-        self.timed(super().pull)
+        self.timed(super().run_components)
 
 
-class ManyLimitsWorld(LimitedWorld):
+class ManyLimitsWorld(LimitedCluster):
     """A fleet with many limits, half of each kind, all of them wanted at each node.
 
     Attributes:
@@ -71,18 +72,25 @@
         name, operation = f"l{index}", f"op{index}"
         if index % 2:
             return Limit(
-                name, LimitKind.RATE, 100_000 * self.count, 4 * self.count, 100, None, operation, False
+                name,
+                LimitKind.RATE,
+                100_000 * self.node_count,
+                4 * self.node_count,
+                100,
+                None,
+                operation,
+                False,
             )
-        return Limit(name, LimitKind.CONCURRENCY, 4 * self.count, 0, 1, None, operation, False)
+        return Limit(name, LimitKind.CONCURRENCY, 4 * self.node_count, 0, 1, None, operation, False)
 
-    def work(self):
+    def generate_load(self):
         """Offers a request of each limit to each node, four times a second."""
-        self.later(TICKS_PER_SECOND // 4, self.work)
-        for host in self.hosts:
+        self.schedule(TICKS_PER_SECOND // 4, self.generate_load)
+        for host in self.nodes:
             for index in range(self.limit_count):
                 request = LimitedRequest(f"op{index}", None)
-                host.parts[-1].request_limiter.try_acquire(host.clock(), request)
-            host.pull()
+                host.components[-1].request_limiter.try_acquire(host.clock(), request)
+            host.run_components()
 
 
 class Usage(NamedTuple):
@@ -99,8 +107,8 @@
 
 def usage(world):
     """Returns the `Usage` of a world so far."""
-    sent_bytes = [world.bytes[node] for node in range(world.count)]
-    return Usage(sent_bytes, [host.cpu_seconds for host in world.hosts])
+    sent_bytes = [world.sent_bytes[node] for node in range(world.node_count)]
+    return Usage(sent_bytes, [host.cpu_seconds for host in world.nodes])
 
 
 def report(world, label, start, span):
@@ -109,7 +117,7 @@
     seconds = span / TICKS_PER_SECOND
     sent = sorted(_differences(start.sent_bytes, end.sent_bytes, seconds))
     cpu = sorted(100 * share for share in _differences(start.cpu_seconds, end.cpu_seconds, seconds))
-    middle = world.count // 2
+    middle = world.node_count // 2
     return (
         f"{label}: bytes a second {sent[-1]:.0f} at the busiest node, {sent[middle]:.0f} at the median; "
         f"CPU {cpu[-1]:.2f} and {cpu[middle]:.2f}% of a core"
@@ -123,27 +131,27 @@
 
 def settle(world):
     """Starts all nodes of a world, timed, and runs it until they have found each other."""
-    world.hosts = [TimedHost(world, node) for node in range(world.count)]
-    for host in world.hosts:
-        world.later(world.random.randrange(1, TICKS_PER_SECOND), host.start)
+    world.nodes = [TimedHost(world, node) for node in range(world.node_count)]
+    for host in world.nodes:
+        world.schedule(world.random.randrange(1, TICKS_PER_SECOND), host.start)
     world.run(SETTLING_SPAN)
     return world
 
 
 def measure_maintenance(node_count, voters):
     """Reports a fleet without a plan, and then through a plan."""
-    world = settle(World(1, nodes=node_count, voters=voters, executors=24, faults=0))
+    world = settle(SimulatedCluster(1, nodes=node_count, voters=voters, executors=24, faults=0))
     start = usage(world)
     world.run(world.now + MEASURED_SPAN)
     click.echo(report(world, f"{node_count} nodes, no plan", start, MEASURED_SPAN))
-    world.later(1, world.operate, TICKS_PER_SECOND // 10)
+    world.schedule(1, world.operators.operate, TICKS_PER_SECOND // 10)
     machines = [executor.name for executor in world.executors]
     plan = {"machines": machines, "most": 4, "workMs": 60_000, "leastShare": 0.5}
     start = usage(world)
     started_at = world.now
-    world.call(b"/v1/maintenance/plan", plan)
+    world.operators.call(b"/v1/maintenance/plan", plan)
     world.run(world.now + TICKS_PER_SECOND)
-    while not world.settled():
+    while not world.is_settled():
         world.run(world.now + TICKS_PER_SECOND // 10)
     span = world.now - started_at
     click.echo(report(world, f"{node_count} nodes, a plan of 24, four at a time", start, span))
@@ -153,7 +161,7 @@
 def measure_limits(node_count, voters, limit_count):
     """Reports a fleet whose limits are all wanted at each node."""
     world = settle(ManyLimitsWorld(1, limit_count, nodes=node_count, voters=voters, faults=0))
-    world.work()
+    world.generate_load()
     world.run(world.now + SETTLING_SPAN)
     start = usage(world)
     world.run(world.now + MEASURED_SPAN)
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -40,8 +40,9 @@
 from grebedyke.service.log import Gauges
 from grebedyke.service.turn import Turn
 from grebedyke.standin.discovery import Discovery
-from grebedyke.testbed.simulated_cluster import World, maintenance_settings
+from grebedyke.testbed.simulated_cluster import SimulatedCluster
 from grebedyke.testbed.simulated_limits import LimitedRequest
+from grebedyke.testbed.simulated_settings import maintenance_settings
 from grebedyke.units import TICKS_PER_SECOND
 from grebedyke.wire import http
 from grebedyke.wire.discovery import entries
@@ -137,7 +138,7 @@
     return [*found.values()]
 
 
-class Measured(World):
+class Measured(SimulatedCluster):
     """Nodes with agreement, and as told: maintenance, so many limits, `wanted` of them at each node; `full`:
     all are asked for beyond what there is, so that each node asks again as soon as it may.
 
@@ -154,17 +155,17 @@
         self.wholes = [framing.Reassembler(MARK) for _ in range(nodes)]
         self.spent, self.number = [[0.0] for _ in range(nodes)], 0
         self.counts, self.regions, self.by_second = Counter(), None, None
-        for host in self.hosts:
-            self.later(self.random.randrange(1, TICKS_PER_SECOND), host.start)
+        for host in self.nodes:
+            self.schedule(self.random.randrange(1, TICKS_PER_SECOND), host.start)
         if limits:
-            self.later(1, self.work)
+            self.schedule(1, self.generate_load)
 
-    def parts_for(self, host):
-        me, n = host.me, self.count
+    def components_for(self, host):
+        me, n = host.node_id, self.node_count
         # As long as a real process's number, which each ask and ballot has in it.
-        process = host.life << 44 | self.random.getrandbits(44)
+        process = host.process << 44 | self.random.getrandbits(44)
         agreement = Consensus(
-            SeededRandom(f"{self.seed} {host.life}"), "f", me, n, self.voters, process, WAIT
+            SeededRandom(f"{self.seed} {host.process}"), "f", me, n, self.voters, process, WAIT
         )
         parts = [agreement]
         if self.maintenance:
@@ -189,38 +190,38 @@
             parts.append(RateLimits(agreement, me, process, limits, terms, host.clock()))
         return [Timed(part, self.spent[me]) for part in parts]
 
-    def work(self):
-        self.later(TICKS_PER_SECOND // 4, self.work)
-        for host in self.hosts:
-            if not host.alive:
+    def generate_load(self):
+        self.schedule(TICKS_PER_SECOND // 4, self.generate_load)
+        for host in self.nodes:
+            if not host.is_running:
                 continue
-            now, limiter = host.clock(), host.parts[-1].request_limiter
+            now, limiter = host.clock(), host.components[-1].request_limiter
             meters = [*limiter.meters.values()]
             for k in range(self.wanted):
-                i = (host.me + k) % self.many
+                i = (host.node_id + k) % self.many
                 if self.full or i % 2 or meters[i].in_flight < 2:
                     limiter.try_acquire(now, LimitedRequest(f"op{i}", None))
-            host.pull()
+            host.run_components()
 
-    def voted(self, host):
+    def record_acceptance(self, host):
         """Nobody judges here."""
 
-    learned = None
+    value_learned = None
 
-    def carry(self, by, to, message):
+    def send(self, by, to, message):
         self.number += 1
         start = thread_time()
         try:
             pieces = framing.pack(MARK, self.number, message)
         except ValueError:
-            self.done["too long"] += 1
+            self.event_counts["too long"] += 1
             return
         self.spent[by][0] += thread_time() - start - LOOK
         size = sum(map(len, pieces))
         self.count_up(by, "out", len(pieces), size)
         if self.regions and self.regions(by) != self.regions(to):
             return
-        self.later(1 + int(self.delay * self.random.expovariate(1)), self.arrive, by, to, pieces)
+        self.schedule(1 + int(self.mean_delay * self.random.expovariate(1)), self.deliver, by, to, pieces)
         self.count_up(to, "in", len(pieces), size)
 
     def count_up(self, node, way, pieces, size):
@@ -229,13 +230,13 @@
         if self.by_second is not None:
             self.by_second[self.now // TICKS_PER_SECOND, node, way] += size
 
-    def arrive(self, by, to, pieces):
+    def deliver(self, by, to, pieces):
         start = thread_time()
         for piece in pieces:
             message = self.wholes[to].take(by, piece)
         self.spent[to][0] += thread_time() - start - LOOK
         if message is not None:
-            self.hosts[to].heard(by, message)
+            self.nodes[to].receive(by, message)
 
     def measure(self, span):
         """A list by node of what it took a second through so long: words, bytes, CPU."""
@@ -250,12 +251,14 @@
                 "messages in": (self.counts[i, "messages in"] - counts[i, "messages in"]) / seconds,
                 "CPU": (self.spent[i][0] - spent[i]) / seconds,
             }
-            for i in range(self.count)
+            for i in range(self.node_count)
         ]
 
     def weighed(self, node):
-        host = self.hosts[node]
-        objects, size = weigh(*(part.part for part in host.parts), but=(self, host, *self.hosts, *self.spent))
+        host = self.nodes[node]
+        objects, size = weigh(
+            *(part.part for part in host.components), but=(self, host, *self.nodes, *self.spent)
+        )
         return {"objects": objects, "state": size}
 
     def role(self, rows, nodes, busiest=False):
@@ -286,8 +289,8 @@
     world = quiet(Measured(nodes, limits=limits, maintenance=False, executors=0, **shape))
     rows, some = world.measure(span), "all" if world.wanted == world.many else "two"
     more = f", {some} full" if world.full else ""
-    (holder,) = (h.me for h in world.hosts if h.parts[-1].election.is_certain_holder(h.clock()))
-    limiters = [h.parts[-1].request_limiter for h in world.hosts]
+    (holder,) = (h.node_id for h in world.nodes if h.components[-1].election.is_certain_holder(h.clock()))
+    limiters = [h.components[-1].request_limiter for h in world.nodes]
     assert any(m.share for limiter in limiters for m in limiter.meters.values()), "nothing is granted"
     return [
         row("holder of limits" + more, against, size, **world.role(rows, [holder])),
@@ -298,12 +301,12 @@
 def planned(against, size, nodes, span, length, executors=None, most=4, **shape):
     """A plan over so many executors from its giving on: who drives it, another voter, a node."""
     world = quiet(Measured(nodes, executors=max(executors or length, length), **shape))
-    world.spec.told = world.spec.answered = lambda *args: None
-    world.later(1, world.operate, TICKS_PER_SECOND // 10)
+    world.specification.call_answered = lambda *args: None
+    world.schedule(1, world.operators.operate, TICKS_PER_SECOND // 10)
     names = [e.name for e in world.executors][:length]
     plan = {"machines": names, "most": most, "workMs": 60_000, "leastShare": 0.0}
-    world.call(b"/v1/maintenance/plan", plan)
-    rows, rev = world.measure(span), max(h.parts[1].rollout.revision for h in world.hosts)
+    world.operators.call(b"/v1/maintenance/plan", plan)
+    rows, rev = world.measure(span), max(h.components[1].rollout.revision for h in world.nodes)
     changes = rev / (span / TICKS_PER_SECOND) * 3600
     told = [
         row(
@@ -312,7 +315,7 @@
             size,
             **world.role(rows, world.voters, True),
             changes=changes,
-            undelivered=world.done["too long"],
+            undelivered=world.event_counts["too long"],
         ),
         row("voter in a plan", against, size, **world.role(rows, world.voters)),
         row("node in a plan", against, size, **world.role(rows, range(5, nodes))),
@@ -324,7 +327,7 @@
     """A configuration as an agreed value of so many bytes, changed so often by node 0: a trial, no part."""
     world = quiet(Measured(nodes, maintenance=False, executors=0))
     value = {f"key {i}": "x" * 40 for i in range(max(length // 50, 1))}
-    giver, wait, made = world.hosts[0], 3600 * TICKS_PER_SECOND // an_hour, []
+    giver, wait, made = world.nodes[0], 3600 * TICKS_PER_SECOND // an_hour, []
 
     def change():
         i = len(made) % len(value)
@@ -336,7 +339,7 @@
             lambda now, result: None,
         )
         giver.pull()
-        world.later(wait, change)
+        world.schedule(wait, change)
 
     change()
     world.run(world.now + 2 * TICKS_PER_SECOND)
@@ -362,9 +365,9 @@
     """
     world = quiet(Measured(nodes, limits=34, full=True))
     if what == "restart of all":
-        for host in world.hosts:
+        for host in world.nodes:
             host.end()
-            world.later(world.random.randrange(1, TICKS_PER_SECOND), host.start)
+            world.schedule(world.random.randrange(1, TICKS_PER_SECOND), host.start)
     else:
         # Voters 0 to 4: three of them, and three of five nodes, on one side.
         world.regions = lambda node: node % 5 in (0, 2, 4)
@@ -375,11 +378,11 @@
     while world.now < start + span:
         world.run(world.now + TICKS_PER_SECOND // 2)
         if whole is None and all(
-            h.alive
-            and h.parts[1].view_is_certain(h.clock())
-            and h.parts[2].share_client.answered_at
-            and any(m.active_share(h.clock()) for m in h.parts[2].request_limiter.meters.values())
-            for h in world.hosts
+            h.is_running
+            and h.components[1].view_is_certain(h.clock())
+            and h.components[2].share_client.answered_at
+            and any(m.active_share(h.clock()) for m in h.components[2].request_limiter.meters.values())
+            for h in world.nodes
         ):
             whole = (world.now - start) / TICKS_PER_SECOND
     worst = {}
@@ -437,7 +440,7 @@
 
     def __init__(self, executors, operations=2, tenants=34, nodes=760, probes=True):
         conf = terms(settings(nodes, operations=operations, tenants=tenants, probes=probes))
-        self.d, self.now, self.events, self.count, self.took = (
+        self.d, self.now, self.events, self.node_count, self.took = (
             open_dispatcher("b", conf),
             TICKS_PER_SECOND,
             [],
@@ -460,18 +463,18 @@
                 self.forward(action.request_id)
             elif isinstance(action, Probe):
                 answer = ProbeAnswered(action.endpoint_id, Outcome.SUCCEEDED, 4, 0)
-                self.later(20, self.d.handle, answer)
+                self.schedule(20, self.d.handle, answer)
             elif isinstance(action, WakeAt):
-                self.later(max(action.at - self.now, 1), self.nothing)
+                self.schedule(max(action.at - self.now, 1), self.nothing)
 
     def nothing(self, now):
         """A wake that is due."""
 
     def forward(self, id):
         n, self.out = len(self.d.requests[id].attempts) - 1, self.out + 1
-        self.later(30, self.d.handle, AttemptStarted(id, n))
+        self.schedule(30, self.d.handle, AttemptStarted(id, n))
         if self.run[id]:
-            self.later(30 + self.run[id], self.end, id, n)
+            self.schedule(30 + self.run[id], self.end, id, n)
 
     def end(self, now, id, n):
         self.d.handle(now, AttemptEnded(id, n, Outcome.SUCCEEDED, True))
@@ -479,8 +482,8 @@
         del self.run[id]
 
     def later(self, wait, call, *args):
-        self.count += 1
-        heappush(self.events, (self.now + wait, self.count, call, args))
+        self.node_count += 1
+        heappush(self.events, (self.now + wait, self.node_count, call, args))
 
     def until(self, when):
         while self.events and self.events[0][0] <= when:
@@ -489,10 +492,10 @@
         self.now = when
 
     def take(self, run):
-        self.count += 1
-        id = f"i{self.count}"
+        self.node_count += 1
+        id = f"i{self.node_count}"
         self.run[id] = run
-        op, tenant = f"op{self.count % self.operations}", f"t{self.count % self.tenants}"
+        op, tenant = f"op{self.node_count % self.operations}", f"t{self.node_count % self.tenants}"
         event = RequestArrived(id, op, tenant, self.now + 600 * TICKS_PER_SECOND)
         self.tell(self.d.handle, event)
 
--- a/grebedyke/commands/fleet.py
+++ b/grebedyke/commands/fleet.py
@@ -235,7 +235,7 @@
             found, played = (simulated_limits if limits else simulated_cluster).play(
                 seed, nodes=processes, voters=voters
             )
-        return seed, [[str(x) for x in row] for row in found], dict(played.done), {}
+        return seed, [[str(x) for x in row] for row in found], dict(played.event_counts), {}
     from grebedyke.testbed import trial
 
     played = asyncio.run(trial.play(seed, processes=processes, seconds=seconds, older=older))
--- a/grebedyke/testbed/invariant_checker.py
+++ b/grebedyke/testbed/invariant_checker.py
@@ -10,8 +10,8 @@
 
 from grebedyke.rate_limits.definitions import LimitKind
 from grebedyke.testbed.instrumentation import SPAN
-from grebedyke.testbed.limit_checker import FleetLimits, LimitJudge
-from grebedyke.testbed.rollout_specification import Spec
+from grebedyke.testbed.limit_checker import FleetLimits, LimitChecker
+from grebedyke.testbed.rollout_specification import ExecutorStates, RolloutSpecification
 from grebedyke.units import TICKS_PER_SECOND
 
 LOOK = 0.5
@@ -32,7 +32,7 @@
     def __init__(self, run, limits):
         self.run, self.limits, self.began = run, limits, time.monotonic()
         self.broken, self.values, self.passed = [], {}, Counter()
-        self.spec = Spec(run.count, run.executors, run.voters)
+        self.spec = RolloutSpecification(run.executors, run.voters)
         self.events, self.newest, self.words, self.shown = Counter(), None, "", 0.0
         self.gone, self.killed, self.pledged = Counter(), 0, {}
         self.sent = {}
@@ -92,21 +92,21 @@
         if value:
             kept = [value["plan"]["id"]] if value["plan"] else []
             for id in {*kept, *(past[0] for past in value["past"])} & {*self.pledged}:
-                self.spec.promised[id] = self.pledged.pop(id), value["rev"]
+                self.spec.accepted_plans[id] = self.pledged.pop(id), value["rev"]
         # Executors of a scene stay up, so none is lost or cold.
-        self.spec.learned(time.monotonic(), node, key, value, {}, ())
-        for _, clause, words in self.spec.broken:
+        self.spec.value_learned(time.monotonic(), node, key, value, ExecutorStates())
+        for _, clause, words in self.spec.violations:
             self.fault(clause, words)
-        self.spec.broken.clear()
+        self.spec.violations.clear()
 
     # What follows from it, at the end.
 
     def over(self):
         """No limit is overrun, by all that went through at all nodes; spans make it less sharp by one."""
         judges = {
-            tenant: LimitJudge(FleetLimits(size, burst + size * SPAN / TICKS_PER_SECOND, size))
+            tenant: LimitChecker(FleetLimits(size, burst + size * SPAN / TICKS_PER_SECOND, size))
             if kind is LimitKind.RATE
-            else LimitJudge(FleetLimits(1, 1, size))
+            else LimitChecker(FleetLimits(1, 1, size))
             for tenant, (kind, size, burst) in self.limits.items()
         }
         for (span, way, tenant), n in sorted(self.events.items()):
@@ -119,7 +119,7 @@
             else:
                 judge.request_admitted(at, "?", n)
         for tenant, judge in judges.items():
-            for _, clause, words in judge.broken:
+            for _, clause, words in judge.violations:
                 self.fault(clause, f"{tenant}: {words}")
 
     async def killing(self, children):
--- a/grebedyke/testbed/limit_checker.py
+++ b/grebedyke/testbed/limit_checker.py
@@ -1,14 +1,15 @@
-"""Judges what a fleet admitted under limits, by the clauses of docs/limits.md.
+"""Checks what a fleet admitted under limits, by the clauses of docs/limits.md.
 
-The judge knows the true time and every request that was admitted. It uses nothing of what it judges.
+The checker knows the true time and every request that was admitted. It uses nothing of what it checks.
 """
 
 from collections import Counter
 from typing import NamedTuple
 
+from grebedyke.testbed.violations import TimedViolation
 from grebedyke.units import TICKS_PER_SECOND
 
-# Rounding of the judge's own arithmetic, in requests.
+# Rounding of the checker's own arithmetic, in requests.
 TOLERANCE = 1e-6
 
 
@@ -63,13 +64,13 @@
         return self.tokens < -TOLERANCE
 
 
-class LimitJudge:
+class LimitChecker:
     """Holds what was admitted against the clauses of docs/limits.md.
 
     In any window W at most rate * W + burst requests are admitted, and no more than the limit are in flight.
 
     Attributes:
-        broken: (tick, clause, detail) of each violation.
+        violations: A `TimedViolation` for each broken clause, its time in ticks.
         admitted: Requests admitted in each second.
         rate_bound: The `RateBound` of requests.
         least_tokens: The least that was ever left in that bound.
@@ -80,7 +81,7 @@
 
     def __init__(self, limits):
         """Begins with these `FleetLimits`."""
-        self.broken = []
+        self.violations = []
         self.admitted = Counter()
         self.rate_bound = RateBound(limits.rate, limits.burst)
         self.least_tokens = limits.burst
@@ -95,29 +96,33 @@
         self._changes.append((now, limits))
 
     def request_admitted(self, now, node, count=1):
-        """Judges requests of the limit on a rate."""
+        """Checks requests of the limit on a rate."""
         self._advance(now)
         self.rate_bound.spend(count)
         self.least_tokens = min(self.least_tokens, self.rate_bound.tokens)
         self.admitted[now // TICKS_PER_SECOND] += count
         if self.rate_bound.is_exceeded():
-            self.broken.append((now, "over the rate", f"by {-self.rate_bound.tokens:.2f}, node {node}"))
+            self.violations.append(
+                TimedViolation(now, "over the rate", f"by {-self.rate_bound.tokens:.2f}, node {node}")
+            )
 
     def retry_admitted(self, now, node):
-        """Judges a retry."""
+        """Checks a retry."""
         self._retry_bound.advance(now)
         self._retry_bound.spend(1)
         if self._retry_bound.is_exceeded():
             detail = f"by {-self._retry_bound.tokens:.2f}, node {node}"
-            self.broken.append((now, "over the further forwards", detail))
+            self.violations.append(TimedViolation(now, "over the further forwards", detail))
 
     def request_began(self, now, node, count=1):
-        """Judges requests of the limit on concurrency."""
+        """Checks requests of the limit on concurrency."""
         self._advance(now)
         self.in_flight += count
         self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
         if self.in_flight > self.concurrency:
-            self.broken.append((now, "too many under way", f"{self.in_flight}, node {node}"))
+            self.violations.append(
+                TimedViolation(now, "too many under way", f"{self.in_flight}, node {node}")
+            )
 
     def request_ended(self, now, count=1):
         """Counts requests of the limit on concurrency that have ended."""
--- a/grebedyke/testbed/simulated_limits.py
+++ b/grebedyke/testbed/simulated_limits.py
@@ -6,8 +6,11 @@
 from grebedyke.rate_limits.component import RateLimits
 from grebedyke.rate_limits.definitions import MILLIREQUESTS_PER_REQUEST, Limit, LimitKind
 from grebedyke.rate_limits.lease_terms import LeaseTerms
-from grebedyke.testbed.limit_checker import FleetLimits, LimitJudge
-from grebedyke.testbed.simulated_cluster import FAULTS, LEASE, World
+from grebedyke.testbed.limit_checker import FleetLimits, LimitChecker
+from grebedyke.testbed.simulated_cluster import SimulatedCluster
+from grebedyke.testbed.simulated_faults import FAULTS
+from grebedyke.testbed.simulated_settings import LEASE
+from grebedyke.testbed.violations import TimedViolation
 from grebedyke.units import TICKS_PER_SECOND
 
 # Executors run on for at most so long after a node's death, in ticks.
@@ -45,14 +48,14 @@
     NONE = "none"
 
 
-class LimitedWorld(World):
+class LimitedCluster(SimulatedCluster):
     """A simulated fleet under limits.
 
     Attributes:
         sharing: How the nodes share the limits, a `Sharing`.
         scale: By how much the limits are larger than `LIMITS`.
         limits: The limits in force.
-        judge: The `LimitJudge` of the round.
+        checker: The `LimitChecker` of the round.
         demand_weights: How demand is distributed over the nodes.
         demand_is_fixed: Whether that distribution stays as it is.
         used_before_faults: Of the rate, the part that was used before the faults began.
@@ -67,22 +70,22 @@
             seed: The round's seed.
             way: How the nodes share the limits, a `Sharing` or its value.
             scale: By how much the limits are larger than `LIMITS`.
-            **shape: Parameters of `World`.
+            **shape: Parameters of `ClusterShape`.
         """
         super().__init__(seed, executors=0, **{"kinds": LIMIT_FAULTS, **shape})
         self.sharing = Sharing(way)
         self.scale = scale
         self.limits = self.limits_at(1)
-        self.judge = LimitJudge(
+        self.checker = LimitChecker(
             FleetLimits(
                 rate=LIMITS.rate * scale,
                 burst=LIMITS.burst * scale,
                 concurrency=LIMITS.concurrency * scale,
                 retry_rate=LIMITS.retry_rate * scale,
-                retry_burst=max(LIMITS.retry_burst * scale, self.count),
+                retry_burst=max(LIMITS.retry_burst * scale, self.node_count),
             )
         )
-        self.demand_weights = [1] * self.count
+        self.demand_weights = [1] * self.node_count
         self.demand_is_fixed = False
         self.used_before_faults = 0.0
         self.used_amid_faults = 0.0
@@ -97,12 +100,12 @@
     def _rate_limit(self, fraction):
         size = int(LIMITS.rate * self.scale * fraction * MILLIREQUESTS_PER_REQUEST)
         # A tenth is the nodes' own.
-        floor = size // self.count if self.sharing is Sharing.EQUAL else size // 10 // self.count
+        floor = size // self.node_count if self.sharing is Sharing.EQUAL else size // 10 // self.node_count
         return Limit(
             name="rate",
             kind=LimitKind.RATE,
             size=size,
-            burst=max(int(LIMITS.burst * self.scale * fraction), self.count),
+            burst=max(int(LIMITS.burst * self.scale * fraction), self.node_count),
             floor=floor,
             tenant="t",
             operation=None,
@@ -116,7 +119,7 @@
             kind=LimitKind.CONCURRENCY,
             size=size,
             burst=0,
-            floor=size // self.count if self.sharing is Sharing.EQUAL else 1,
+            floor=size // self.node_count if self.sharing is Sharing.EQUAL else 1,
             tenant=None,
             operation="pay",
             soft=False,
@@ -128,20 +131,20 @@
             name="again",
             kind=LimitKind.RATE,
             size=size,
-            burst=max(LIMITS.retry_burst * self.scale, self.count),
-            floor=size // self.count if self.sharing is Sharing.EQUAL else 0,
+            burst=max(LIMITS.retry_burst * self.scale, self.node_count),
+            floor=size // self.node_count if self.sharing is Sharing.EQUAL else 0,
             tenant="t",
             operation=None,
             soft=False,
             on_retries=True,
         )
 
-    def parts_for(self, host):
+    def components_for(self, node):
         """Returns the components of a node's process, in the order in which the host asks them."""
-        consensus = self.agreement_for(host)
-        node_count = 1 if self.sharing is Sharing.NONE else self.count
+        consensus = self.consensus_for(node)
+        node_count = 1 if self.sharing is Sharing.NONE else self.node_count
         terms = LeaseTerms(node_count=node_count, lease=LEASE, clock_drift=self.drift, run_on=RUN_ON)
-        rate_limits = RateLimits(consensus, host.me, host.life, self.limits, terms, host.clock())
+        rate_limits = RateLimits(consensus, node.node_id, node.process, self.limits, terms, node.clock())
         if self.sharing is Sharing.NONE:
             for meter in rate_limits.request_limiter.meters.values():
                 meter.share = meter.grantable
@@ -154,24 +157,24 @@
         """Changes the limits to a fraction of their full size; each node reads its file at its own time."""
         self.limits = self.limits_at(fraction)
         last_wait = 0
-        for host in self.hosts:
+        for node in self.nodes:
             wait = self.random.randrange(1, spread)
             last_wait = max(last_wait, wait)
-            self.later(wait, self.reload, host, self.limits)
+            self.schedule(wait, self.reload, node, self.limits)
         # A share that was granted already binds until its lease has ended and what it admitted has ended.
         lease_end = int(LEASE * (1 + self.drift) / (1 - self.drift) ** 2) + 2
         run_on_end = int(RUN_ON * (1 + self.drift) / (1 - self.drift)) + 1
         rate, slots, _ = self.limits
-        self.judge.change_limits(
+        self.checker.change_limits(
             self.now + last_wait + lease_end + run_on_end,
             FleetLimits(rate.size / MILLIREQUESTS_PER_REQUEST, rate.burst, slots.size),
         )
 
-    def reload(self, host, limits):
+    def reload(self, node, limits):
         """A node reads its file again."""
-        if host.alive:
-            host.parts[-1].change_limits(host.clock(), limits)
-            host.pull()
+        if node.is_running:
+            node.components[-1].change_limits(node.clock(), limits)
+            node.run_components()
 
     # Demand.
 
@@ -179,70 +182,70 @@
         """Draws another distribution of demand: even, all at one node, or by chance."""
         if self.demand_is_fixed:
             return
-        self.later(DEMAND_CHANGE_INTERVAL, self.move_demand)
+        self.schedule(DEMAND_CHANGE_INTERVAL, self.move_demand)
         kind = self.random.randrange(3)
         if kind == 0:
-            self.demand_weights = [1] * self.count
+            self.demand_weights = [1] * self.node_count
         elif kind == 1:
-            only = self.random.randrange(self.count)
-            self.demand_weights = [int(node == only) for node in range(self.count)]
+            only = self.random.randrange(self.node_count)
+            self.demand_weights = [int(node == only) for node in range(self.node_count)]
         else:
-            self.demand_weights = [self.random.random() ** 2 for _ in range(self.count)]
+            self.demand_weights = [self.random.random() ** 2 for _ in range(self.node_count)]
 
-    def work(self):
+    def generate_load(self):
         """Offers requests to all nodes, step after step."""
-        self.later(DEMAND_STEP, self.work)
+        self.schedule(DEMAND_STEP, self.generate_load)
         total = sum(self.demand_weights)
-        for host in self.hosts:
-            if not host.alive or host.stopped:
+        for node in self.nodes:
+            if not node.is_running or node.is_paused:
                 continue
-            offered = OVERLOAD * DEMAND_STEP / TICKS_PER_SECOND * self.demand_weights[host.me] / total
+            offered = OVERLOAD * DEMAND_STEP / TICKS_PER_SECOND * self.demand_weights[node.node_id] / total
             for _ in range(self.draw_count(offered * LIMITS.rate * self.scale)):
-                self.offer_to_rate(host)
+                self.offer_to_rate(node)
             for _ in range(self.draw_count(offered * LIMITS.concurrency * self.scale / MEAN_RUNNING_SECONDS)):
-                self.offer_to_concurrency(host)
-            host.pull()
+                self.offer_to_concurrency(node)
+            node.run_components()
 
-    def offer_to_rate(self, host):
+    def offer_to_rate(self, node):
         """Offers a request of the limit on a rate, and now and then a retry of it."""
-        limiter = host.parts[-1].request_limiter
+        limiter = node.components[-1].request_limiter
         request = LimitedRequest("view", "t")
-        if limiter.try_acquire(host.clock(), request):
+        if limiter.try_acquire(node.clock(), request):
             return
-        self.judge.request_admitted(self.now, host.me)
-        self.done["went through"] += 1
-        if self.random.random() < RETRY_PROBABILITY and limiter.may_retry(host.clock(), request):
-            limiter.retry_started(host.clock(), request)
-            self.judge.retry_admitted(self.now, host.me)
-            self.done["went again"] += 1
-
-    def offer_to_concurrency(self, host):
+        self.checker.request_admitted(self.now, node.node_id)
+        self.event_counts["went through"] += 1
+        if self.random.random() < RETRY_PROBABILITY and limiter.may_retry(node.clock(), request):
+            limiter.retry_started(node.clock(), request)
+            self.checker.retry_admitted(self.now, node.node_id)
+            self.event_counts["went again"] += 1
+
+    def offer_to_concurrency(self, node):
         """Offers a request of the limit on concurrency; it runs on whatever becomes of its node."""
         request = LimitedRequest("pay", None)
-        if host.parts[-1].request_limiter.try_acquire(host.clock(), request):
+        if node.components[-1].request_limiter.try_acquire(node.clock(), request):
             return
-        self.judge.request_began(self.now, host.me)
-        self.done["under way"] += 1
+        self.checker.request_began(self.now, node.node_id)
+        self.event_counts["under way"] += 1
         running = self.random.randrange(RUN_ON // 5, RUN_ON * 98 // 100)
-        self.later(running, self.end_request, host, host.life, request)
+        self.schedule(running, self.end_request, node, node.process, request)
 
     def draw_count(self, mean):
         """Returns a whole number of that mean."""
         whole = int(mean)
         return whole + (self.random.random() < mean - whole)
 
-    def end_request(self, host, process, request):
+    def end_request(self, node, process, request):
         """Ends a request of the limit on concurrency; its node learns it unless it has been restarted."""
-        self.judge.request_ended(self.now)
-        if host.life == process:
-            host.parts[-1].request_limiter.release(request)
+        self.checker.request_ended(self.now)
+        if node.process == process:
+            node.components[-1].request_limiter.release(request)
 
-    # What the world of maintenance judges.
+    # What the cluster of maintenance judges.
 
-    def learned(self, node, key, value):
+    def value_learned(self, node_id, key, value):
         """Judges nothing: there is no maintenance here."""
 
-    def voted(self, host):
+    def record_acceptance(self, node):
         """Judges nothing either."""
 
 
@@ -255,7 +258,7 @@
 
     watched_endpoints = ()
     record_files = ()
-    # The simulated world asks each node whether it remembers its votes; this one has none to forget.
+    # The simulated cluster asks each node whether it remembers its votes; this one has none to forget.
     acceptor = SimpleNamespace(phase="voting")
     store = SimpleNamespace(is_clean=lambda: True)
 
@@ -294,27 +297,30 @@
     """Plays one round: moving demand, then faults and amid them the limits halved, then calm.
 
     Returns:
-        The violations, and the world.
+        The violations, and the cluster.
     """
-    world = LimitedWorld(seed, **shape)
-    judge = world.judge
-    world.open()
-    world.later(1, world.move_demand)
-    world.run(20 * TICKS_PER_SECOND)
-    world.used_before_faults = judge.used_fraction(8 * TICKS_PER_SECOND, world.now)
-    world.trouble(world.now + seconds * TICKS_PER_SECOND)
-    world.run(world.now + seconds * TICKS_PER_SECOND // 2)
-    world.used_amid_faults = judge.used_fraction(20 * TICKS_PER_SECOND, world.now)
-    world.change_size(0.5)
-    world.run(world.now + seconds * TICKS_PER_SECOND // 2)
-    world.heal()
-    world.demand_is_fixed = True
-    calm_start = world.now + 8 * TICKS_PER_SECOND
-    world.run(calm_start + CALM)
-    world.used_in_calm = judge.used_fraction(calm_start, world.now)
+    cluster = LimitedCluster(seed, **shape)
+    checker = cluster.checker
+    cluster.start_all()
+    cluster.schedule(1, cluster.move_demand)
+    cluster.run(20 * TICKS_PER_SECOND)
+    cluster.used_before_faults = checker.used_fraction(8 * TICKS_PER_SECOND, cluster.now)
+    cluster.schedule_fault(cluster.now + seconds * TICKS_PER_SECOND)
+    cluster.run(cluster.now + seconds * TICKS_PER_SECOND // 2)
+    cluster.used_amid_faults = checker.used_fraction(20 * TICKS_PER_SECOND, cluster.now)
+    cluster.change_size(0.5)
+    cluster.run(cluster.now + seconds * TICKS_PER_SECOND // 2)
+    cluster.end_faults()
+    cluster.demand_is_fixed = True
+    calm_start = cluster.now + 8 * TICKS_PER_SECOND
+    cluster.run(calm_start + CALM)
+    cluster.used_in_calm = checker.used_fraction(calm_start, cluster.now)
     # Floors of nodes without demand are lost, here of up to four nodes of five, each a fiftieth of the limit;
     # and a clock may be as fast as the stated drift.
-    least = 0.84 / (1 + world.drift)
-    if world.sharing is Sharing.LEASES and world.used_in_calm < least:
-        judge.broken.append((world.now, "the limit is used", f"{world.used_in_calm:.3f} of it in calm"))
-    return judge.broken, world
+    least = 0.84 / (1 + cluster.drift)
+    if cluster.sharing is Sharing.LEASES and cluster.used_in_calm < least:
+        violation = TimedViolation(
+            cluster.now, "the limit is used", f"{cluster.used_in_calm:.3f} of it in calm"
+        )
+        checker.violations.append(violation)
+    return checker.violations, cluster
--- /dev/null
+++ b/grebedyke/testbed/simulated_node.py
@@ -0,0 +1,283 @@
+"""One node of a simulated cluster: its process, clock and disk, and the host of its components."""
+
+from collections import Counter
+from functools import partial
+
+from grebedyke.consensus.acceptor import Phase
+from grebedyke.consensus.actions import (
+    AnswerCall,
+    ExcludeEndpoints,
+    PersistRecord,
+    SendMessage,
+    WakeAt,
+)
+from grebedyke.units import TICKS_PER_SECOND
+
+# A write to disk takes so long, in ticks: from the first figure up to the second.
+WRITE_TIME = (5, 100)
+SLOW_WRITE_TIME = (2 * TICKS_PER_SECOND, 5 * TICKS_PER_SECOND)
+# How long what is due in a paused process is put off, again and again, in ticks.
+PAUSED_RETRY_INTERVAL = TICKS_PER_SECOND // 20
+# The kernel keeps so many datagrams for a paused process.
+SOCKET_BUFFER_SIZE = 2_000
+# A boot's monotonic clock begins anywhere below this tick.
+LARGEST_CLOCK_OFFSET = 10**9
+
+
+class SimulatedDisk:
+    """What outlasts a process.
+
+    Attributes:
+        files: Content by file name.
+        older_files: A copy of the files as they once were, to be restored by a fault.
+        lies: Whether writes are reported as done that a crash undoes.
+        slow: Whether a write takes seconds.
+        fails: Whether writes end with an error.
+    """
+
+    def __init__(self):
+        self.files = {}
+        self.older_files = {}
+        self.lies = False
+        self.slow = False
+        self.fails = False
+        self._unsynced = {}
+
+    def write(self, name, data):
+        """Replaces a file."""
+        if self.lies:
+            self._unsynced.setdefault(name, self.files.get(name))
+        else:
+            self._unsynced.pop(name, None)
+        self.files[name] = data
+
+    def crash(self):
+        """Undoes what the disk has only pretended to write."""
+        for name, previous in self._unsynced.items():
+            if previous is None:
+                self.files.pop(name, None)
+            else:
+                self.files[name] = previous
+        self._unsynced = {}
+
+
+class SimulatedNode:
+    """A node over all its processes: what `service/component_host.py` does on sockets, without them.
+
+    Attributes:
+        cluster: The `SimulatedCluster` that the node belongs to.
+        node_id: The node's number.
+        disk: Its `SimulatedDisk`.
+        clock_rate: Ticks of the node's clock for each tick of simulated time.
+        clock_offset: What the node's clock said at the beginning of simulated time, in ticks.
+        process: Number of the running process, distinct over the cluster; 0 where none runs.
+        is_running: Whether a process runs, be it paused or not.
+        is_paused: Whether the process is stopped by a signal and may go on.
+        components: The process's components, in the order in which they are asked.
+        unread_messages: (sender, message) that have arrived while the process was paused.
+        excluded_names: The executors that the components want left out.
+        excludes_all_others: Whether they want all other executors left out, too.
+        open_attempts: Number of attempts in flight by executor.
+    """
+
+    def __init__(self, cluster, node_id):
+        self.cluster = cluster
+        self.node_id = node_id
+        self.disk = SimulatedDisk()
+        self.clock_rate = 1.0
+        self.clock_offset = 0
+        self.process = 0
+        self.is_running = False
+        self.is_paused = False
+        self.components = []
+        self.unread_messages = []
+        self.excluded_names = frozenset()
+        self.excludes_all_others = True
+        self.open_attempts = Counter()
+
+    def clock(self):
+        """Returns the tick that the node's own clock shows."""
+        return int(self.clock_offset + self.cluster.now * self.clock_rate)
+
+    # Processes.
+
+    def start(self):
+        """Starts a new process from the files on the disk."""
+        cluster = self.cluster
+        self.process = cluster.new_process()
+        self.is_running = True
+        self.is_paused = False
+        self.unread_messages = []
+        self.excluded_names = frozenset()
+        self.excludes_all_others = True
+        self.open_attempts = Counter()
+        self.clock_offset = cluster.random.randrange(LARGEST_CLOCK_OFFSET)
+        self.components = cluster.components_for(self)
+        for component in self.components:
+            records = {name: self.disk.files.get(name) for name in component.record_files}
+            component.restore(self.clock(), records)
+        self.update_endpoint_list()
+        self.run_components()
+
+    def start_if_down(self):
+        """Starts a new process unless one runs."""
+        if not self.is_running:
+            self.start()
+
+    def crash(self):
+        """Ends the process at once."""
+        self.disk.crash()
+        self.is_running = False
+        self.components = []
+        self.process = 0
+
+    def resume(self):
+        """Lets a paused process go on: it finds what its socket's buffer has kept, and the newest list."""
+        self.is_paused = False
+        messages = self.unread_messages
+        self.unread_messages = []
+        for sender, message in messages[-SOCKET_BUFFER_SIZE:]:
+            self.receive(sender, message)
+        self.update_endpoint_list()
+        self.run_components()
+
+    # What the components are told.
+
+    def update_endpoint_list(self):
+        """Passes the present endpoint list on to the components."""
+        rows = [executor.endpoint_row() for executor in self.cluster.executors if executor.is_up]
+        for component in self.components:
+            component.endpoints_changed(self.clock(), True, rows)
+
+    def receive(self, sender, message):
+        """Passes a message on to the component that it is for."""
+        if self.is_paused:
+            self.unread_messages.append((sender, message))
+        elif self.is_running:
+            for component in self.components:
+                if component.receive(self.clock(), sender, message):
+                    break
+            self.run_components()
+
+    def run_components(self):
+        """Carries out what the components want done, until none of them wants anything more."""
+        if not self.is_running or self.is_paused:
+            return
+        now = self.clock()
+        for component in self.components:
+            watched = component.watched_endpoints
+            if watched:
+                component.open_attempts_reported(now, [name for name in watched if self.open_attempts[name]])
+        has_acted = True
+        while has_acted:
+            has_acted = False
+            for component in self.components:
+                for action in iter(partial(component.next_action, now), None):
+                    has_acted = True
+                    self.perform(component, action)
+        self.cluster.record_acceptance(self)
+
+    # What the components want done.
+
+    def perform(self, component, action):
+        """Carries out one action of a component."""
+        if isinstance(action, SendMessage):
+            self.cluster.send(self.node_id, action.node, action.message)
+        elif isinstance(action, PersistRecord):
+            shortest, longest = SLOW_WRITE_TIME if self.disk.slow else WRITE_TIME
+            delay = self.cluster.random.randrange(shortest, longest)
+            self.cluster.schedule(delay, self.finish_write, self.process, component, action)
+        elif isinstance(action, WakeAt):
+            delay = int((action.at - self.clock()) / self.clock_rate) + 1
+            self.cluster.schedule(max(delay, 1), self.wake, self.process)
+        elif isinstance(action, ExcludeEndpoints):
+            self.excluded_names = action.names
+            self.excludes_all_others = action.all_others
+        elif isinstance(action, AnswerCall):
+            action.call(action.status, action.body)
+
+    def wake(self, process):
+        """Runs the components at the time they asked for, unless their process has ended."""
+        if process != self.process:
+            return
+        if self.is_paused:
+            self.cluster.schedule(PAUSED_RETRY_INTERVAL, self.wake, process)
+        else:
+            self.run_components()
+
+    def finish_write(self, process, component, write):
+        """Ends a write to disk, unless its process has ended.
+
+        Args:
+            process: The process that asked for the write.
+            component: The component that asked for it.
+            write: The `PersistRecord`.
+        """
+        if process != self.process:
+            return
+        if self.is_paused:
+            self.cluster.schedule(PAUSED_RETRY_INTERVAL, self.finish_write, process, component, write)
+            return
+        succeeded = not self.disk.fails
+        if succeeded:
+            self.disk.write(write.file, write.data)
+        else:
+            self.cluster.event_counts["disk failed"] += 1
+        component.record_persisted(self.clock(), write.file, write.number, succeeded)
+        self.run_components()
+
+    # Questions about the node.
+
+    def remembers_votes(self):
+        """Returns whether the node votes, and its disk has what it votes by.
+
+        A member that rejoins forgets if the write of its new record fails, so a failing disk counts as a
+        memory that is lost.
+        """
+        if not self.is_running:
+            return False
+        consensus = self.components[0]
+        is_voting = consensus.acceptor.phase == Phase.VOTING
+        return is_voting and consensus.store.is_clean() and not self.disk.fails
+
+    def may_use(self, executor_name):
+        """Returns whether the node may send to an executor, asked right before it sends."""
+        now = self.clock()
+        for component in self.components:
+            component.expire(now)
+            for action in component.take_exclusions():
+                self.perform(component, action)
+        return not self.excludes_all_others and executor_name not in self.excluded_names
+
+
+class SimulatedExecutor:
+    """An executor and the operators' work at it.
+
+    Attributes:
+        name: Its name in the endpoint list.
+        zone: Its failure domain.
+        is_up: Whether it runs.
+        start_count: How often it has started again.
+        is_in_work: Whether operators work at it.
+        changed_at: Tick at which it started or ended last.
+        work_ended_at: Tick at which work at it ended last.
+    """
+
+    def __init__(self, name, zone):
+        self.name = name
+        self.zone = zone
+        self.is_up = True
+        self.start_count = 0
+        self.is_in_work = False
+        self.changed_at = -(10**9)
+        self.work_ended_at = -(10**9)
+
+    def switch(self, now, is_up):
+        """Starts or ends the executor."""
+        self.is_up = is_up
+        self.changed_at = now
+        self.start_count += is_up
+
+    def endpoint_row(self):
+        """Returns its row of the endpoint list."""
+        return (self.name, self.zone, "std", 0, "healthy", self.start_count, 1)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -52,7 +52,7 @@
 from grebedyke.service.assembly import assemble
 from grebedyke.service.configuration.reading import NODE
 from grebedyke.service.handover import Channel
-from grebedyke.testbed import simulated_cluster, simulated_limits
+from grebedyke.testbed import simulated_cluster, simulated_limits, simulated_settings
 from grebedyke.units import TICKS_PER_SECOND
 from grebedyke.wire import peer_codec
 from grebedyke.wire.discovery import entries
@@ -143,7 +143,7 @@
 def view_recalled(node, nodes, data):
     """What a node says after a start from its view: its state, the banned machines, and its file again."""
     agreement = agreement_part(node, [0, 1, 2], nodes, 1_000)
-    settings = simulated_cluster.maintenance_settings(TICKS_PER_SECOND, drift=0.02)
+    settings = simulated_settings.maintenance_settings(TICKS_PER_SECOND, drift=0.02)
     part = Maintenance(agreement, "f", node, nodes, 1_000, settings)
     part.restore(0, {"view": data})
     banned = sorted(part.take_exclusions()[0].names)
@@ -158,8 +158,8 @@
 def simulated_world(kind):
     """The module and the name of the class of simulated fleets, and the function that plays a round."""
     module, name = {
-        "maintenance": (simulated_cluster, "World"),
-        "limits": (simulated_limits, "LimitedWorld"),
+        "maintenance": (simulated_cluster, "SimulatedCluster"),
+        "limits": (simulated_limits, "LimitedCluster"),
     }[kind]
     return module, name, module.play
 
@@ -170,15 +170,15 @@
     class Tapped(base):
         def __init__(self, *arguments, **shape):
             super().__init__(*arguments, **shape)
-            for host in self.hosts:
+            for host in self.nodes:
                 host.disk.write = partial(self.write, host, host.disk.write)
 
-        def carry(self, sender, receiver, message):
+        def send(self, sender, receiver, message):
             tape.sent(self.now, sender, receiver, msgpack.packb(message))
-            super().carry(sender, receiver, message)
+            super().send(sender, receiver, message)
 
         def write(self, host, write, name, data):
-            tape.kept(self.now, host.me, name, data)
+            tape.kept(self.now, host.node_id, name, data)
             write(name, data)
 
     return Tapped
@@ -186,20 +186,20 @@
 
 def operators_call(fleet, node, method, path, body=None):
     """An operator's call at one node of a simulated fleet; its answers are added to the list returned."""
-    answers, host = [], fleet.hosts[node]
-    part = next(part for part in host.parts if path.startswith(part.call_paths))
+    answers, host = [], fleet.nodes[node]
+    part = next(part for part in host.components if path.startswith(part.call_paths))
     part.operator_call(host.clock(), lambda *answer: answers.append(answer), method, path, body)
-    host.pull()
+    host.run_components()
     return answers
 
 
 def members_round(make_world):
     """A fleet without faults in which a plan runs while one voter is taken out and another is added."""
     fleet, told = make_world(7, faults=0), {}
-    fleet.open()
-    fleet.later(1, fleet.operate)
+    fleet.start_all()
+    fleet.schedule(1, fleet.operators.operate)
     fleet.run(3 * TICKS_PER_SECOND)
-    fleet.call(b"/v1/maintenance/plan", MAINTENANCE_PLAN)
+    fleet.operators.call(b"/v1/maintenance/plan", MAINTENANCE_PLAN)
     fleet.run(5 * TICKS_PER_SECOND)
     for seconds, change in ((8, b"remove/2"), (11, b"add/3"), (14, b"add/2")):
         operators_call(fleet, 0, b"POST", b"/v1/agreement/" + change)
@@ -212,7 +212,7 @@
     fleet.run(20 * TICKS_PER_SECOND)
     # Proposers that know older members, or newer ones: the two refusals that no drawn round shows.
     for node, epoch, members in ((0, 0, [0, 1, 2]), (1, 99, [0, 2])):
-        fleet.hosts[node].heard(2, ["p", "board", [1_000, 2, 77], epoch, members])
+        fleet.nodes[node].receive(2, ["p", "board", [1_000, 2, 77], epoch, members])
     fleet.run(21 * TICKS_PER_SECOND)
     return told
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -13,7 +13,7 @@
 from grebedyke.maintenance.rollout import Rollout
 from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.testbed import broken_builds
-from grebedyke.testbed.simulated_cluster import World
+from grebedyke.testbed.simulated_cluster import SimulatedCluster
 
 ROUND_TIMEOUT = 500
 STEP = 100
@@ -250,29 +250,29 @@
 
 
 def test_members_change_one_at_a_time_and_all_values_come_along():
-    world = World(3, nodes=5, faults=0)
-    for host in world.hosts:
+    world = SimulatedCluster(3, nodes=5, faults=0)
+    for host in world.nodes:
         host.start()
     world.run(20_000)
-    members = [host.parts[0] for host in world.hosts]
+    members = [host.components[0] for host in world.nodes]
     answers = []
     members[4].propose(
-        world.hosts[4].clock(),
+        world.nodes[4].clock(),
         "board",
         lambda value: (Rollout().encode(), True),
         lambda now, result: answers.append(result),
     )
-    world.hosts[4].pull()
+    world.nodes[4].run_components()
     world.run(40_000)
     for path in (b"add/3", b"remove/0", b"add/4"):
         members[1].operator_call(
-            world.hosts[1].clock(),
+            world.nodes[1].clock(),
             lambda *answer: answers.append(answer),
             b"POST",
             b"/v1/agreement/" + path,
             None,
         )
-        world.hosts[1].pull()
+        world.nodes[1].run_components()
         world.run(world.now + 60_000)
     assert answers == [True, (200, "done"), (200, "done"), (200, "done")]
     assert [member.members for member in members] == [[1, 2, 3, 4]] * 5
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -5,7 +5,8 @@
 import pytest
 
 from grebedyke.testbed import broken_builds
-from grebedyke.testbed.simulated_cluster import FAULTS, play
+from grebedyke.testbed.simulated_cluster import play
+from grebedyke.testbed.simulated_faults import FAULTS
 
 SHAPES = [
     {"kinds": None},
@@ -20,7 +21,7 @@
     found, world = play(seed, **SHAPES[seed % len(SHAPES)])
     assert not found
     # A round in which nothing happened would say nothing.
-    assert world.done["worked at"] >= 4 and any(world.done[kind] for kind in FAULTS)
+    assert world.event_counts["worked at"] >= 4 and any(world.event_counts[kind] for kind in FAULTS)
 
 
 def test_rounds_that_once_showed_a_fault_are_played_again():
