--- a/grebedyke/commands/scale.py
+++ b/grebedyke/commands/scale.py
@@ -87,8 +87,9 @@
       grebedyke scale --nodes 760 --real 20 --seed 1 --for 120 --scene cut --json cut.json
     """
     from grebedyke.standin import talk
-    from grebedyke.testbed import broken_builds, scale_figures
-    from grebedyke.testbed import scale_run as scales
+    from grebedyke.testbed import broken_builds, scale_report, scale_run, simulated_fleet
+    from grebedyke.testbed.scale_capacity import DoesNotFitError
+    from grebedyke.testbed.scale_settings import ScaleSettings
 
     builds = broken_builds.BUILDS | broken_builds.LIMITS | broken_builds.SCALE
     if build and build not in builds:
@@ -98,7 +99,7 @@
     try:
         host = host and talk.loopback(host)
         result = asyncio.run(
-            scales.play(
+            scale_run.play(
                 lambda text: click.echo(text, err=True),
                 nodes=nodes,
                 real=real,
@@ -106,30 +107,28 @@
                 seconds=seconds,
                 scene=scene,
                 lead=None if lead == "any" else lead,
-                each=each,
+                hollow_per_process=each,
                 lease=lease,
                 wait=wait,
                 loss=loss,
                 delay=delay,
                 host=host,
-                port=port,
+                first_port=port,
                 build=build,
             )
         )
         if simulated:
-            from grebedyke.testbed.simulated_fleet import beside
-
-            result["simulated"] = beside(
-                scales.Run(nodes=nodes, real=0, seed=seed, scene=scene, lease=lease, wait=wait),
+            result["simulated"] = simulated_fleet.play(
+                ScaleSettings(nodes=nodes, real=0, seed=seed, scene=scene, lease=lease, wait=wait),
                 min(seconds, 20.0),
             )
-    except (scales.Unfit, ValueError) as problem:
+    except (DoesNotFitError, ValueError) as problem:
         fail(str(problem))
     except (KeyboardInterrupt, asyncio.CancelledError):
         fail("stopped", 1)
     except (OSError, TimeoutError) as problem:
         fail(str(problem) or repr(problem), 1)
-    for line in scale_figures.lines(result):
+    for line in scale_report.table_lines(result):
         click.echo(line)
     for row in result["hollow_beside_real"]:
         if not row["within"]:
@@ -144,7 +143,7 @@
         )
     if json_path:
         Path(json_path).write_text(json.dumps(result, indent=1, default=str) + "\n")
-    wrong = [*scale_figures.verdict(result)]
+    wrong = [*scale_report.problem_lines(result)]
     for line in wrong:
         click.echo(line)
     raise SystemExit(3 if wrong else 0)
--- a/grebedyke/testbed/counted_node.py
+++ b/grebedyke/testbed/counted_node.py
@@ -1,66 +1,79 @@
-"""A real node of a scale run, with the same instruments around its parts as a hollow one has.
+"""A real node of a scale run, with the same instruments around its components as a hollow one has.
 
-Started by a scale run as `python -m grebedyke.testbed.counted_node`: the launcher, with the instruments that
-GREBEDYKE_SCALE describes.
+A scale run starts it as `python -m grebedyke.testbed.counted_node`: the launcher, told more.
 """
 
 import asyncio
-import os
 import signal
 import sys
-from collections import Counter
 from contextlib import nullcontext
 
-import orjson
-
 from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.testbed import broken_builds, launcher
-from grebedyke.testbed.instrumentation import Demand, Seen, Tap, operation
-from grebedyke.testbed.process_agent import Station
+from grebedyke.testbed.process_agent import ProcessAgent
+from grebedyke.testbed.process_settings import Instruments, ProcessSettings
+
+
+class CountedNode:
+    """The one node of this process, as a `ProcessAgent` knows nodes; it runs as long as the process.
 
+    Attributes:
+        node_id: The node's number.
+        probe: Its `NodeProbe`.
+        random: Draws its start times.
+        is_running: Always true.
+        has_demand: Whether demand has begun.
+        batch_loop: Its `Turn`.
+        demand: Its `DemandGenerator`.
+    """
 
-class Real:
-    """The one node of this process; it ends with it."""
+    def __init__(self, node, settings, instruments):
+        """Puts the instruments around a node that has not begun.
 
-    def __init__(self, node, told, seen, passes):
-        loop, [me, wants] = node.loop, told["nodes"][0]
-        self.me, self.turn, self.alive, self.wanted = me, node.turn, True, False
-        self.chance = SeededRandom(f"real {told['seed']} {me}")
-        self.tap = Tap(me, seen, told["seed"])
-        self.tap.loss, self.tap.delay = told["loss"], told["delay"]
-        self.tap.attach(node.also, node.peers, loop)
+        Args:
+            node: The node, as `assembly.assemble` gives it.
+            settings: The `ProcessSettings`.
+            instruments: The `Instruments`.
+        """
+        self.node_id, tenants = settings.nodes[0]
+        self.batch_loop = node.turn
+        self.is_running = True
+        self.has_demand = False
+        self.random = SeededRandom(f"real {settings.seed} {self.node_id}")
+        self.probe = instruments.probe(self.node_id)
+        self.probe.attach(node.also, node.peers, node.loop)
         node.turn.last_look = node.also.expire
-        self.demand = Demand(
-            loop,
-            self.tap,
-            node.turn,
-            told["seed"],
-            wants,
-            operation(told["operation"]),
-            told["every"],
-            told["hold"],
-            passes,
-        )
+        self.demand = instruments.demand(node.loop, self.probe, node.turn, tenants)
 
     def start(self):
-        """It has."""
+        """Does nothing: it runs."""
 
-    end = start
+    def end(self):
+        """Does nothing: the run kills its process."""
 
 
 def main():
+    """Runs the node; returns its exit code."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    told = orjson.loads(os.environ.pop("GREBEDYKE_SCALE"))
+    settings = ProcessSettings.take_from_environment()
     tasks = []
 
-    def joined(node):
-        seen, passes = Seen(), Counter()
-        host = Real(node, told, seen, passes)
-        station = Station(node.loop, {host.me: host}, seen, passes, told["folder"])
-        tasks.append(asyncio.ensure_future(station.serve(), loop=node.loop))
+    def attach_agent(node):
+        """Puts the agent beside a node that has been put together."""
+        instruments = Instruments(settings)
+        host = CountedNode(node, settings, instruments)
+        agent = ProcessAgent(
+            node.loop,
+            {host.node_id: host},
+            instruments.learned_values,
+            instruments.admissions,
+            settings.folder,
+        )
+        tasks.append(asyncio.ensure_future(agent.serve(), loop=node.loop))
 
-    with broken_builds.build(told["build"]) if told.get("build") else nullcontext():
-        return launcher.main(joined)
+    build = broken_builds.build(settings.broken_build) if settings.broken_build else nullcontext()
+    with build:
+        return launcher.main(attach_agent)
 
 
 if __name__ == "__main__":
--- a/grebedyke/testbed/hollow_node.py
+++ b/grebedyke/testbed/hollow_node.py
@@ -1,18 +1,17 @@
-"""Hollow nodes, many in a process: the real parts on real datagrams in real time, and nothing else of a node.
+"""Hollow nodes, many in a process: the real components, sockets and clock, and nothing else of a node.
 
-No clients, executors and log; the parts are hosted by `service/component_host.py` itself, each node's with a
-socket, a turn and a folder of its own. A scale run starts it as `python -m grebedyke.testbed.hollow_node`,
-described by GREBEDYKE_SCALE (JSON). docs/scale.md says how far such a node stands for a real one.
+They have no clients, executors and log. Each one's components are hosted by `service/component_host.py`
+itself, with a socket, a batch loop and a folder of its own. A scale run starts this module as `python -m
+grebedyke.testbed.hollow_node`. docs/scale.md says how far such a node stands for a real one.
 """
 
 import asyncio
 import os
 import signal
 import sys
-from collections import Counter, deque
+from collections import deque
 from contextlib import nullcontext
 
-import orjson
 from loguru import logger
 
 from grebedyke.consensus import framing
@@ -24,128 +23,172 @@
 from grebedyke.service.record_files import RecordFiles
 from grebedyke.service.turn import Turn
 from grebedyke.testbed import broken_builds
-from grebedyke.testbed.instrumentation import Demand, Seen, Tap, operation
-from grebedyke.testbed.process_agent import BEAT, Station
+from grebedyke.testbed.process_agent import BEAT_INTERVAL, ProcessAgent
+from grebedyke.testbed.process_settings import Instruments, ProcessSettings
 from grebedyke.wire.peers import Peers
 
 
-class Hollow:
-    """One node over its lives. `said`: what a node's configuration says; `place`: what its process shares.
+class SharedResources:
+    """What the hollow nodes of one process share.
 
-    `wants`: the tenants of its clients.
+    Attributes:
+        loop: The event loop.
+        gauges: The `Gauges`, which nobody reads.
+        endpoint_rows: The endpoint list.
+        beats: The newest times of the shared beat, by which each node knows that the process stood still.
+        instruments: The `Instruments`.
+        seed: Of the run.
     """
 
-    def __init__(self, place, me, said, wants):
-        self.place, self.me, self.said = place, me, said
-        self.tap = Tap(me, place.seen, place.seed)
-        self.tap.loss, self.tap.delay = place.loss, place.delay
-        self.chance = SeededRandom(f"hollow {place.seed} {me}")
-        self.alive, self.wanted, self.lives, self.disk = False, False, 0, None
-        self.turn = Turn(place.loop, place.gauges)
-        self.turn.decide = lambda now: None
-        self.peers, self.parts = None, None
-        self.demand = Demand(
-            place.loop,
-            self.tap,
-            self.turn,
-            place.seed,
-            wants,
-            place.operation,
-            place.every,
-            place.hold,
-            place.passes,
-        )
+    def __init__(self, loop, settings):
+        """Begins without a beat; `settings` is the `ProcessSettings`."""
+        self.loop = loop
+        self.gauges = Gauges()
+        self.endpoint_rows = [tuple(row) for row in settings.endpoint_rows]
+        self.beats = deque([Turn.clock()] * 3, 3)
+        self.instruments = Instruments(settings)
+        self.seed = settings.seed
+
+    def beat(self):
+        """Notes the time from now on, again and again."""
+        self.beats.append(Turn.clock())
+        self.loop.call_later(BEAT_INTERVAL, self.beat)
+
+
+class HollowNode:
+    """One node over all its processes, which here are lives of an object.
+
+    Attributes:
+        node_id: The node's number.
+        probe: Its `NodeProbe`.
+        random: Draws its start times.
+        is_running: Whether it runs.
+        has_demand: Whether demand is to begin with its next start.
+        batch_loop: Its `Turn`.
+        demand: Its `DemandGenerator`.
+    """
+
+    def __init__(self, shared, node_id, node_configuration, tenants):
+        """Begins without running.
+
+        Args:
+            shared: The `SharedResources`.
+            node_id: The node's number.
+            node_configuration: Its configuration, as `configuration.read_node` gives it.
+            tenants: Names of the tenants whose requests come in at it.
+        """
+        self.node_id = node_id
+        self.probe = shared.instruments.probe(node_id)
+        self.random = SeededRandom(f"hollow {shared.seed} {node_id}")
+        self.is_running = False
+        self.has_demand = False
+        self.batch_loop = Turn(shared.loop, shared.gauges)
+        self.batch_loop.decide = lambda now: None
+        self.demand = shared.instruments.demand(shared.loop, self.probe, self.batch_loop, tenants)
+        self._shared = shared
+        self._configuration = node_configuration
+        self._start_count = 0
+        self._peers = None
+        self._host = None
 
     def start(self):
-        """Another process of this node, with the folder of the one before."""
-        if self.alive:
+        """Starts another process of this node, with the folder of the one before."""
+        if self.is_running:
             return
-        if self.disk:
+        if self._host:
             # What the process before had begun to write is with the disk: a kill does not undo it.
-            self.disk.shutdown(wait=True)
-        place, turn = self.place, Turn(self.place.loop, self.place.gauges)
-        # One loop: a stall of it is one of all its nodes, and one beat tells them all.
-        turn.marks = place.marks
-        self.lives, self.turn, self.demand.turn = self.lives + 1, turn, turn
+            self._host.disk_thread.shutdown(wait=True)
+        self._start_count += 1
+        self._build()
+        self._peers.move(self._configuration["peers"], self.node_id)
+        self.batch_loop.put(self._host.endpoints_changed, True, self._shared.endpoint_rows)
+        self._host.start(False)
+        self.is_running = True
+        if self.has_demand:
+            self.demand.start()
+
+    def _build(self):
+        """Puts the parts of a process together and connects them."""
+        shared = self._shared
+        batch_loop = Turn(shared.loop, shared.gauges)
+        # All nodes have one event loop: a stall of it is one of all, and one beat tells them.
+        batch_loop.marks = shared.beats
+        self.batch_loop = batch_loop
+        self.demand.batch_loop = batch_loop
         process = new_process_id()
-        told = {**self.said, "seed": f"{self.said['seed']} {self.lives}"}
-        peers = self.peers = Peers(place.loop, turn, None, framing.LARGEST_DATAGRAM)
-        parts = self.parts = ComponentHost(
-            place.loop,
-            turn,
-            RecordFiles(self.said["fleet"]["folder"]),
-            self.said["fleet"]["name"],
-            build_components(told, process, turn.clock()),
-            NodeAccess(
-                send_datagram=peers.send,
-                # A node that has nobody to send to knows each executor that it is told to leave out.
-                set_ban=lambda now, name, is_banned: True,
-                with_open_attempts=lambda names: [],
-                listed_names=lambda: [row[0] for row in place.rows],
-                banned_names=lambda: [],
-            ),
+        seed = f"{self._configuration['seed']} {self._start_count}"
+        node_configuration = {**self._configuration, "seed": seed}
+        peers = Peers(shared.loop, batch_loop, None, framing.LARGEST_DATAGRAM)
+        fleet = self._configuration["fleet"]
+        host = ComponentHost(
+            shared.loop,
+            batch_loop,
+            RecordFiles(fleet["folder"]),
+            fleet["name"],
+            build_components(node_configuration, process, batch_loop.clock()),
+            self._node_access(peers),
+        )
+        self.probe.attach(host, peers, shared.loop)
+        peers.heard = host.receive_datagram
+        batch_loop.decide = host.next_action
+        batch_loop.last_look = host.expire
+        batch_loop.carry = lambda now, decision: host.perform(now, *decision)
+        self._peers = peers
+        self._host = host
+
+    def _node_access(self, peers):
+        return NodeAccess(
+            send_datagram=peers.send,
+            # A node that sends to nobody knows each executor that it is told to exclude.
+            set_ban=lambda now, name, is_banned: True,
+            with_open_attempts=lambda names: [],
+            listed_names=lambda: [row[0] for row in self._shared.endpoint_rows],
+            banned_names=lambda: [],
         )
-        self.disk = parts.disk_thread
-        self.tap.attach(parts, peers, place.loop)
-        peers.heard = parts.receive_datagram
-        turn.decide, turn.last_look = parts.next_action, parts.expire
-        turn.carry = lambda now, decision: parts.perform(now, *decision)
-        peers.move(self.said["peers"], self.me)
-        turn.put(parts.endpoints_changed, True, place.rows)
-        parts.start(False)
-        self.alive = True
-        if self.wanted:
-            self.demand.go()
 
     def end(self):
-        """As a kill: nothing more is said, heard or written by it."""
-        if self.alive:
-            self.alive = False
-            self.demand.stop()
-            self.peers.move([], 0)
-            self.parts.is_started = False
-            self.turn.limits.clear()
-            self.parts.close()
-
-
-class Place:
-    """What the hollow nodes of one process share."""
-
-    def __init__(self, loop, told):
-        self.loop, self.seed, self.rows = loop, told["seed"], [tuple(row) for row in told["rows"]]
-        self.seen, self.passes, self.gauges = Seen(), Counter(), Gauges()
-        self.marks = deque([Turn.clock()] * 3, 3)
-        self.loss, self.delay = told["loss"], told["delay"]
-        self.operation, self.every, self.hold = operation(told["operation"]), told["every"], told["hold"]
-
-    def beat(self):
-        self.marks.append(Turn.clock())
-        self.loop.call_later(BEAT, self.beat)
+        """Ends the process as a kill does: nothing more is sent, received or written by it."""
+        if not self.is_running:
+            return
+        self.is_running = False
+        self.demand.stop()
+        self._peers.move([], 0)
+        self._host.is_started = False
+        self.batch_loop.limits.clear()
+        self._host.close()
 
 
-async def run(told):
+async def serve(settings):
+    """Has the nodes of this process until the run ends; `settings` is the `ProcessSettings`."""
     loop = asyncio.get_running_loop()
-    place, hosts = Place(loop, told), {}
-    said = configuration.read_node({"BALANCER_CONFIG": told["file"]})
-    for me, wants in told["nodes"]:
-        settings = {**said["settings"], "me": me}
-        fleet = {**said["fleet"], "folder": os.path.join(told["folder"], f"n{me}")}
-        mine = {**said, "seed": f"{told['seed']} {me}", "settings": settings, "fleet": fleet}
-        hosts[me] = Hollow(place, me, mine, wants)
-    station = Station(loop, hosts, place.seen, place.passes, told["folder"])
-    place.beat()
-    station.beat()
-    await station.serve()
+    shared = SharedResources(loop, settings)
+    hosts = {}
+    first = configuration.read_node({"BALANCER_CONFIG": settings.configuration_file})
+    for node_id, tenants in settings.nodes:
+        node_configuration = {
+            **first,
+            "seed": f"{settings.seed} {node_id}",
+            "settings": {**first["settings"], "me": node_id},
+            "fleet": {**first["fleet"], "folder": os.path.join(settings.folder, f"n{node_id}")},
+        }
+        hosts[node_id] = HollowNode(shared, node_id, node_configuration, tenants)
+    instruments = shared.instruments
+    agent = ProcessAgent(loop, hosts, instruments.learned_values, instruments.admissions, settings.folder)
+    shared.beat()
+    agent.loop_lag.measure()
+    await agent.serve()
 
 
 def main():
-    # The run's word ends it, not the terminal's.
+    """Runs one process of hollow nodes."""
+    # The run ends it, not the terminal.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    told = orjson.loads(os.environ.pop("GREBEDYKE_SCALE"))
+    settings = ProcessSettings.take_from_environment()
     logger.remove()
     logger.add(sys.stderr, level="WARNING", diagnose=False)
-    with broken_builds.build(told["build"]) if told.get("build") else nullcontext():
-        asyncio.run(run(told))
+    build = broken_builds.build(settings.broken_build) if settings.broken_build else nullcontext()
+    with build:
+        asyncio.run(serve(settings))
 
 
 if __name__ == "__main__":
--- a/grebedyke/testbed/scale_figures.py
+++ b/grebedyke/testbed/scale_figures.py
@@ -1,14 +1,22 @@
-"""What a scale run has counted, by role: rows for a table and JSON, and what is over the limits."""
+"""What a scale run has measured, by role, and what of it exceeds the operators' limits."""
 
+from collections import Counter
+from dataclasses import dataclass, field
 from statistics import median
 from time import thread_time_ns
+from typing import NamedTuple
 
 from grebedyke.consensus import framing
 
 # What operators grant a node's control: percent of a core, bytes in memory, bytes a second in and out.
-CPU, MEMORY, BYTES = 1.1, 64_000_000, 3_000
-# A hollow node stands for a real one where it differs by that at most.
-TENTH = 0.1
+CPU_LIMIT = 1.1
+MEMORY_LIMIT = 64_000_000
+TRAFFIC_LIMIT = 3_000
+# A hollow node stands for a real one where it differs by that part at most.
+TOLERANCE = 0.1
+# Windows shorter than this say nothing about limits, in seconds.
+SHORTEST_WINDOW = 1
+# What is measured of each node, by the names of the JSON file: a second, in percent of a core, or in bytes.
 COUNTED = (
     "messages_out",
     "bytes_out",
@@ -22,10 +30,10 @@
     "objects",
     "state",
 )
-# `asked`: the node that the operators call, which proposes what they want.
-ROLES = "holder", "driver", "voter", "other", "asked", "down"
-# Why a figure may differ, where it is of such a kind.
-WHY = {
+# In the order of the table. `asked` is the node that the operators call, which proposes what they want.
+ROLES = ("holder", "driver", "voter", "other", "asked", "down")
+# Why a figure may differ between hollow and real nodes.
+REASONS = {
     "cpu_process": "a real process has its own loop, beat, watch of the list and log beside its parts; many "
     "hollow nodes share one loop",
     "calls": "a real node asks its parts also in turns that are none of theirs: its list, its clock",
@@ -34,148 +42,247 @@
     "memory": "a real process has an interpreter and the rest of a node of its own; many hollow nodes share "
     "them",
 }
+# The yardstick's message, a request for a lease of the view, and how often it is packed.
+YARDSTICK_MESSAGE = ["m", 1_000, 100, 100, 2**55, 1]
+YARDSTICK_REPETITIONS = 1_000
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class NodeUsage:
+    """What one node used in a window.
+
+    Attributes:
+        node: Its number.
+        seconds: How long it was measured.
+        is_real: Whether it is a real node.
+        role: What it was to the others.
+        counts: By names of `COUNTED`; some have no figure.
+        kinds: Number of messages sent by kind.
+    """
+
+    node: int
+    seconds: float
+    is_real: bool
+    role: str
+    counts: dict[str, float]
+    kinds: dict[str, int] = field(default_factory=Counter)
+
+    @property
+    def traffic(self):
+        """Bytes a second in and out."""
+        return self.counts["bytes_out"] + self.counts["bytes_in"]
+
+    @property
+    def kind(self):
+        """The kind of node, as the table has it."""
+        return "real" if self.is_real else "hollow"
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Window:
+    """What was measured in a part of a run.
+
+    Attributes:
+        seconds: Its length.
+        lag_ms: The largest lag of the hollow nodes' event loops, in milliseconds.
+        values: Number of values that were agreed on.
+        yardstick_us: What `yardstick` gave, in microseconds.
+        late_beats: Share of the beats that were late, in the worst process.
+        memory: Bytes of all processes.
+        dropped: Datagrams that found a full buffer.
+        nodes: The `NodeUsage` of each node.
+        kinds: Number of messages sent by kind.
+        load: The machine's load average.
+        grown: By how many entries the containers at a place have grown, in the mean.
+    """
+
+    seconds: float
+    lag_ms: float = 0.0
+    values: int = 0
+    yardstick_us: float = 0.0
+    late_beats: float = 0.0
+    memory: int = 0
+    dropped: int = 0
+    nodes: list[NodeUsage]
+    kinds: dict[str, int] = field(default_factory=dict)
+    load: float = 0.0
+    grown: dict[str, float] = field(default_factory=dict)
+
+
+class Spread(NamedTuple):
+    """A figure over several nodes."""
+
+    median: float
+    least: float
+    most: float
+
+
+class RoleUsage(NamedTuple):
+    """What the nodes of one role and kind used.
+
+    Attributes:
+        role: What they were to the others.
+        kind: `hollow`, `real` or `simulated`.
+        nodes: Their number.
+        spreads: The `Spread` of each figure, by names of `COUNTED`.
+    """
+
+    role: str
+    kind: str
+    nodes: int
+    spreads: dict[str, Spread]
+
+    def document(self):
+        """Returns it as the JSON file has it."""
+        spreads = {name: spread._asdict() for name, spread in self.spreads.items()}
+        return {"role": self.role, "kind": self.kind, "nodes": self.nodes, **spreads}
+
+
+class Comparison(NamedTuple):
+    """A figure of a role's hollow nodes beside the real ones'.
+
+    Attributes:
+        role: The role.
+        count: A name of `COUNTED`.
+        hollow: The hollow nodes' median.
+        real: The real nodes' median.
+        ratio: The first by the second; None where that is 0.
+        within: Whether they differ by `TOLERANCE` at most.
+        why: What explains a larger difference.
+    """
+
+    role: str
+    count: str
+    hollow: float
+    real: float
+    ratio: float | None
+    within: bool
+    why: str
+
+
+class Excess(NamedTuple):
+    """A role that exceeds a limit, by its worst node.
+
+    Attributes:
+        window: Name of the window.
+        role: The role.
+        kind: `hollow` or `real`.
+        what: `cpu`, `bytes` or `memory`.
+        figure: What was used.
+        limit: What is granted.
+        factor: The first by the second.
+    """
+
+    window: str
+    role: str
+    kind: str
+    what: str
+    figure: float
+    limit: float
+    factor: float
 
 
 def yardstick():
-    """Microseconds that this machine takes just now to pack an ask for a lease and take it apart again, by
-    which figures of processor time are to be read.
+    """Measures this machine, as figures of CPU time are read beside its speed.
+
+    Returns:
+        Microseconds that it takes just now to pack a request for a lease and to take it apart again.
     """
-    ask, mark, times = ["m", 1_000, 100, 100, 2**55, 1], framing.fleet_tag("yardstick"), 1_000
-    whole, start = framing.Reassembler(mark), thread_time_ns()
-    for number in range(times):
-        whole.take(0, framing.pack(mark, number, ask)[0])
-    return (thread_time_ns() - start) / times / 1_000
-
-
-def rows_of(nodes):
-    """One row for each role and kind of node: median, least and most of each count."""
-    rows = []
-    for role in sorted(
-        {node["role"] for node in nodes}, key=lambda role: (ROLES.index(role.split()[0]), role)
-    ):
-        for real in (False, True):
-            some = [node for node in nodes if node["role"] == role and node["real"] == real]
-            if not some:
-                continue
-            row = {"role": role, "kind": "real" if real else "hollow", "nodes": len(some)}
-            for key in COUNTED:
-                if found := [node[key] for node in some if key in node]:
-                    row[key] = {"median": median(found), "least": min(found), "most": max(found)}
-            rows.append(row)
-    return rows
-
-
-def compared(nodes):
-    """Each count of a role's hollow nodes beside the real ones': medians, their ratio, and what it means."""
-    rows = []
-    by = {(row["role"], row["kind"]): row for row in rows_of(nodes)}
-    for role in ROLES:
-        hollow, real = by.get((role, "hollow")), by.get((role, "real"))
-        if not hollow or not real:
-            continue
-        for key in COUNTED:
-            if key not in hollow or key not in real:
-                continue
-            a, b = hollow[key]["median"], real[key]["median"]
-            within = near(a, b)
-            row = {"role": role, "count": key, "hollow": a, "real": b, "ratio": a / b if b else None}
-            rows.append({**row, "within": within, "why": "" if within else why(key, hollow, real)})
-    return rows
+    tag = framing.fleet_tag("yardstick")
+    reassembler = framing.Reassembler(tag)
+    start = thread_time_ns()
+    for number in range(YARDSTICK_REPETITIONS):
+        reassembler.take(0, framing.pack(tag, number, YARDSTICK_MESSAGE)[0])
+    return (thread_time_ns() - start) / YARDSTICK_REPETITIONS / 1_000
 
 
-def near(a, b):
-    return abs(a - b) <= TENTH * max(b, 1e-9)
+def usage_by_role(nodes, simulated=False):
+    """Returns the `RoleUsage` of each role and kind of node.
 
+    Args:
+        nodes: The `NodeUsage`s.
+        simulated: Whether they are of a simulated fleet.
+    """
+    roles = sorted({node.role for node in nodes}, key=lambda role: (ROLES.index(role.split()[0]), role))
+    usages = []
+    for role in roles:
+        for kind in ("hollow", "real"):
+            some = [node for node in nodes if node.role == role and node.kind == kind]
+            if some:
+                kind_shown = "simulated" if simulated else kind
+                usages.append(RoleUsage(role, kind_shown, len(some), _spreads(some)))
+    return usages
 
-def why(key, hollow, real):
-    """What explains a difference of more than a tenth."""
-    if key == "cpu_parts":
-        a, b = (row[key]["median"] * 10_000 / row["calls"]["median"] for row in (hollow, real))
-        of_each = f"{a:.0f} and {b:.0f} us a call"
-        if near(a, b):
-            return f"{of_each}: a real node's parts are called more often, see calls"
-        return f"{of_each}: a process that wakes for one node finds its caches cold, beside the calls"
-    return WHY.get(key, "not explained")
 
+def _spreads(nodes):
+    spreads = {}
+    for name in COUNTED:
+        figures = [node.counts[name] for node in nodes if name in node.counts]
+        if figures:
+            spreads[name] = Spread(median(figures), min(figures), max(figures))
+    return spreads
 
-def over_limits(windows):
-    """A line's worth for each role that is over a limit of the table: by its worst node."""
-    found = []
-    for name, window in windows.items():
-        for row in rows_of(window["nodes"]) if window["seconds"] >= 1 else ():
-            both = [
-                a["bytes_out"] + a["bytes_in"]
-                for a in window["nodes"]
-                if a["role"] == row["role"] and a["real"] == (row["kind"] == "real")
-            ]
-            memory = row.get("resident", row["memory"])["most"]
-            for what, n, limit in (
-                ("cpu", row["cpu_parts"]["most"], CPU),
-                ("bytes", max(both), BYTES),
-                ("memory", memory, MEMORY),
-            ):
-                if n > limit:
-                    found.append(
-                        {
-                            "window": name,
-                            "role": row["role"],
-                            "kind": row["kind"],
-                            "what": what,
-                            "figure": n,
-                            "limit": limit,
-                            "factor": n / limit,
-                        }
-                    )
-    return found
 
+def compare_kinds(nodes):
+    """Returns a `Comparison` of each figure of each role that has hollow nodes and real ones."""
+    by_kind = {(usage.role, usage.kind): usage.spreads for usage in usage_by_role(nodes)}
+    comparisons = []
+    for role in ROLES:
+        hollow = by_kind.get((role, "hollow"))
+        real = by_kind.get((role, "real"))
+        if hollow and real:
+            names = [name for name in COUNTED if name in hollow and name in real]
+            comparisons += [_compare(role, name, hollow, real) for name in names]
+    return comparisons
 
-HEAD = (
-    f"{'role':17} {'':9} {'nodes':>5} {'out/s':>8} {'B out/s':>9} {'in/s':>8} {'B in/s':>9} {'cpu %':>7} "
-    f"{'proc %':>7} {'MB':>6} {'RSS MB':>6} {'objects':>8} {'state kB':>8}"
-)
 
+def _compare(role, name, hollow, real):
+    hollow_median = hollow[name].median
+    real_median = real[name].median
+    is_near = _is_near(hollow_median, real_median)
+    return Comparison(
+        role=role,
+        count=name,
+        hollow=hollow_median,
+        real=real_median,
+        ratio=hollow_median / real_median if real_median else None,
+        within=is_near,
+        why="" if is_near else _explanation(name, hollow, real),
+    )
 
-def line(row):
-    """One role's medians; a dash where there is nothing of it."""
 
-    def of(key, width, digits, scale=1.0):
-        return f"{row[key]['median'] / scale:{width}.{digits}f}" if key in row else f"{'-':>{width}}"
+def _is_near(figure, reference):
+    return abs(figure - reference) <= TOLERANCE * max(reference, 1e-9)
 
-    return (
-        f"{row['role'][:17]:17} {row['kind']:9} {row['nodes']:5} {of('messages_out', 8, 1)} "
-        f"{of('bytes_out', 9, 0)} {of('messages_in', 8, 1)} {of('bytes_in', 9, 0)} {of('cpu_parts', 7, 2)} "
-        f"{of('cpu_process', 7, 2)} {of('memory', 6, 1, 1e6)} {of('resident', 6, 1, 1e6)} "
-        f"{of('objects', 8, 0)} {of('state', 8, 1, 1e3)}"
+
+def _explanation(name, hollow, real):
+    """Returns what explains a difference of more than the tolerance."""
+    if name != "cpu_parts":
+        return REASONS.get(name, "not explained")
+    hollow_call, real_call = (
+        spreads["cpu_parts"].median * 10_000 / spreads["calls"].median for spreads in (hollow, real)
     )
+    per_call = f"{hollow_call:.0f} and {real_call:.0f} us a call"
+    if _is_near(hollow_call, real_call):
+        return f"{per_call}: a real node's parts are called more often, see calls"
+    return f"{per_call}: a process that wakes for one node finds its caches cold, beside the calls"
 
 
-def lines(result):
-    """The table as people read it."""
-    yield HEAD
-    for name, window in result["windows"].items():
-        yield (
-            f"-- {name}: {window['seconds']:.0f} s, loop late by {window['lag_ms']:.0f} ms at most "
-            f"and by over 20 ms in {window['late_beats']:.2%} of its beats, "
-            f"{window['dropped']} datagrams dropped by full buffers, "
-            f"{window['values'] / window['seconds']:.1f} values a second agreed on, "
-            f"yardstick {window['yardstick_us']:.1f} us"
-        )
-        yield from map(line, window["roles"])
-    if result.get("simulated"):
-        changes = result["simulated"]["boards_a_second"]
-        yield f"-- in simulated time, {changes:.1f} changes of the board a second"
-        yield from map(line, result["simulated"]["roles"])
-
-
-def verdict(result):
-    """Lines that say what is wrong, limits and invariants apart; none where all is well."""
-    units = {"cpu": "% of a core", "bytes": " bytes a second in and out", "memory": " bytes of memory"}
-    for row in result["over"]:
-        yield (
-            f"over the limit: {row['role']} ({row['kind']}) {row['window']}: {row['figure']:.4g}"
-            f"{units[row['what']]} of {row['limit']:g}, {row['factor']:.1f} times"
-        )
-    for at, clause, words in result["broken"]:
-        yield f"broken: {clause} ({at:.1f} s): {words}"
-    if result["void"]:
-        yield result["void"]
+def excesses(windows):
+    """Returns an `Excess` for each role that exceeds a limit in one of the `Window`s by name."""
+    found = []
+    for name, window in windows.items():
+        if window.seconds < SHORTEST_WINDOW:
+            continue
+        for usage in usage_by_role(window.nodes):
+            nodes = [node for node in window.nodes if (node.role, node.kind) == (usage.role, usage.kind)]
+            spreads = usage.spreads
+            figures = (
+                ("cpu", spreads["cpu_parts"].most, CPU_LIMIT),
+                ("bytes", max(node.traffic for node in nodes), TRAFFIC_LIMIT),
+                ("memory", spreads.get("resident", spreads["memory"]).most, MEMORY_LIMIT),
+            )
+            for what, figure, limit in figures:
+                if figure > limit:
+                    found.append(Excess(name, usage.role, usage.kind, what, figure, limit, figure / limit))
+    return found
--- a/grebedyke/testbed/scale_run.py
+++ b/grebedyke/testbed/scale_run.py
@@ -1,4 +1,4 @@
-"""A fleet as large as one machine allows: hollow nodes by the hundred, real ones beside them, and a judge.
+"""A fleet as large as one machine allows: hollow nodes by the hundred, real ones beside them, and a checker.
 
 Loopback only, bounded in time, processes and memory. docs/scale.md is its page.
 """
@@ -6,732 +6,308 @@
 import asyncio
 import json
 import os
-import random
-import resource
 import shutil
 import signal
-import socket
-import sys
 import tempfile
 import time
-from collections import Counter
 from pathlib import Path
-from statistics import median
 
-import orjson
-
-from grebedyke.load import fleet as plain
-from grebedyke.load import shape
 from grebedyke.standin.discovery import Discovery
 from grebedyke.standin.executor import Executor
 from grebedyke.standin.faults import Script
 from grebedyke.standin.model import Worker
-from grebedyke.testbed.instrumentation import limits_of
-from grebedyke.testbed.invariant_checker import UNTIL, Looking
-from grebedyke.testbed.process_cluster import DRIFT, GRACE, RAMP, WINDOW
-from grebedyke.testbed.scale_figures import compared, over_limits, rows_of, yardstick
-
-ZONES = "a", "b", "c", "d", "e"
-# Regions: three zones and two, so that at most one side of a cut has a majority.
-REGIONS = frozenset("abc"), frozenset("de")
-TEAMS = 34
-OPERATION = shape.Operation("task", "safe")
-SCENES = {
-    "calm": "each node wants the limits of two teams",
-    "peak": "each node wants the limits of all teams, and a plan of machines is under way",
-    "zone": "the zone of the limits' holder is killed, and started again later",
-    "cut": "two regions reach each other no more for a while",
-    "restart": "all nodes are killed at once and started again",
-}
-# What a run may take of this machine.
-MOST_PROCESSES, MEMORY_SHARE = 300, 0.5
-# By which a run is judged to fit before it begins; measured.
-PROCESS_BYTES, HOLLOW_BYTES, REAL_BYTES, STACK = 40 << 20, 1 << 20, 50 << 20, 8 << 20
-# All processes are up, and all nodes agree, by then.
-UP, AGREE = 120.0, 120.0
-# After a fault's end all nodes agree within so many leases: a new holder's election takes some five.
-AGREE_LEASES = 15
-# Hollow nodes start within so many seconds.
-SPREAD = 2.0
-
-
-class Unfit(Exception):
-    """This run does not fit this machine; one plain line."""
-
-
-class Child:
-    """A process that holds nodes; `ask` is a word and its answer."""
-
-    def __init__(self, nodes, module, environ, log, real):
-        self.nodes, self.module, self.environ, self.log, self.real = nodes, module, environ, log, real
-        self.process, self.waits, self.number, self.reading, self.up = None, {}, 0, None, None
-
-    async def start(self):
-        loop = asyncio.get_running_loop()
-        self.up, self.waits = loop.create_future(), {}
-        with open(self.log, "ab") as log:
-            self.process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                self.module,
-                env=self.environ,
-                stdin=asyncio.subprocess.PIPE,
-                stdout=asyncio.subprocess.PIPE,
-                stderr=log,
-                limit=2**26,
-            )
-        self.reading = asyncio.ensure_future(self.read(self.process, self.waits, self.up))
-
-    async def read(self, process, waits, up):
-        while line := await process.stdout.readline():
-            told = orjson.loads(line)
-            if "up" in told:
-                up.set_result(True)
-            elif (future := waits.pop(told.pop("to"), None)) and not future.done():
-                future.set_result(told)
-        for future in [*waits.values(), up]:
-            if not future.done():
-                future.set_exception(OSError(f"a process of the run has ended: {self.last_words()}"))
-                future.exception()  # whoever waits is told; nobody may
-
-    def last_words(self):
-        lines = Path(self.log).read_text(errors="replace").strip().splitlines()
-        return lines[-1][:300] if lines else "it said nothing"
-
-    async def ask(self, do, **given):
-        self.number += 1
-        future = self.waits[self.number] = asyncio.get_running_loop().create_future()
-        self.process.stdin.write(orjson.dumps({"id": self.number, "do": do, "with": given}) + b"\n")
-        told = await asyncio.wait_for(future, 60)
-        if "problem" in told:
-            raise OSError(f"{do} at nodes {self.nodes[0]} on: {told['problem']}")
-        return told
-
-    async def kill(self):
-        if self.process and self.process.returncode is None:
-            self.process.kill()
-            await self.process.wait()
-
-    async def close(self):
-        """Its input ends, and it with it; who does not is killed."""
-        if self.process and self.process.returncode is None:
-            self.process.stdin.close()
-            try:
-                await asyncio.wait_for(self.process.wait(), 5)
-            except TimeoutError:
-                await self.kill()
-        if self.reading:
-            self.reading.cancel()
-
-
-class Run:
-    """`lead`: whether driver and holder are hollow or real, None: as it comes; `each`: hollow nodes in a
-    process; `lease`, `wait` in seconds; `say`: takes lines of progress; `build`: one of the broken ones;
-    `within`: seconds from a fault's end until all nodes agree.
+from grebedyke.testbed.child_process import ChildProcess
+from grebedyke.testbed.demand_generator import tenant_limits
+from grebedyke.testbed.fleet_layout import OPERATION, FleetLayout
+from grebedyke.testbed.instrumentation import HOLDER
+from grebedyke.testbed.invariant_checker import InvariantChecker
+from grebedyke.testbed.process_settings import ProcessSettings
+from grebedyke.testbed.scale_capacity import check_capacity
+from grebedyke.testbed.scale_measurement import Measurement
+from grebedyke.testbed.scale_operators import ScaleOperators
+from grebedyke.testbed.scale_report import result_document
+from grebedyke.testbed.scale_scenes import PLAYS
+from grebedyke.testbed.scale_settings import ZONES, ScaleSettings
+from grebedyke.units import TICKS_PER_SECOND
+
+HOLLOW_MODULE = "grebedyke.testbed.hollow_node"
+REAL_MODULE = "grebedyke.testbed.counted_node"
+SHARED_MEMORY = "/dev/shm"
+# All processes are up, and all nodes agree for the first time, within so many seconds.
+START_TIMEOUT = 120.0
+FIRST_AGREEMENT_TIMEOUT = 120.0
+# Hollow nodes of a process start within so many seconds; of a process of its own at once.
+START_SPREAD = 2.0
+SINGLE_START_SPREAD = 0.2
+# The first voter starts so many leases after the others.
+FIRST_VOTER_DELAY = 0.75
+LEADERSHIP_TRIES = 4
+AGREEMENT_PAUSE = 0.1
+
+
+class ScaleRun:
+    """One run.
+
+    Attributes:
+        settings: The `ScaleSettings`.
+        layout: The `FleetLayout`.
+        say: Called with lines of progress.
+        children: Each `ChildProcess`.
+        child_of: The `ChildProcess` of each node.
+        checker: The `InvariantChecker`.
+        measurement: The `Measurement`.
+        operators: The `ScaleOperators`.
+        agreement_times: By occasion the seconds until all nodes agreed, None where that took too long.
+        down_nodes: Numbers of the nodes that were killed and not started again.
     """
 
-    def __init__(
-        self,
-        nodes=40,
-        real=3,
-        seed=1,
-        seconds=20.0,
-        scene="calm",
-        lead=None,
-        each=16,
-        lease=2.0,
-        wait=0.2,
-        executors=24,
-        loss=0.0,
-        delay=0.0,
-        host=None,
-        port=21_000,
-        build=None,
-        within=None,
-        say=lambda text: None,
-    ):
-        self.count, self.seed, self.seconds, self.scene = nodes, seed, seconds, scene
-        self.lead, self.each, self.lease, self.wait, self.say = lead, each, lease, wait, say
-        self.executors, self.loss, self.delay, self.build = executors, loss, delay, build
-        self.within = within or AGREE_LEASES * lease
-        self.host, self.port = host or f"127.{64 + os.getpid() % 128}.{seed % 250}.7", port
-        self.random = random.Random(f"scale {seed}")
-        self.voters = list(range(5 if nodes >= 7 else 3))
-        self.real = self.drawn(min(real, nodes))
-        self.zones = [ZONES[i % len(ZONES)] for i in range(nodes)]
-        self.children, self.at, self.windows, self.times = [], {}, {}, {}
-        self.folder = self.discovery = self.looking = None
-        self.ends, self.stand_ins, self.plans, self.down = {}, [], 0, set()
-
-    def drawn(self, count):
-        """Which nodes are real: two of the voters, and others of no role."""
-        if not count:
-            return set()
-        some = self.voters[:2] if self.lead == "real" else self.voters[2:4]
-        others = [i for i in range(self.count) if i not in self.voters]
-        drawn = self.random.sample(others, len(others)) + [i for i in self.voters if i not in some]
-        return {*[*some, *drawn][:count]}
-
-    # Whether it fits.
-
-    def groups(self):
-        """The hollow nodes of each process: who votes has one of its own, its load is many times a node's."""
-        hollow = [i for i in range(self.count) if i not in self.real]
-        votes = [[i] for i in hollow if i in self.voters]
-        rest = [i for i in hollow if i not in self.voters]
-        number = -(-len(rest) // self.each)
-        # By turns, so that each process has nodes of all zones.
-        return votes + [rest[k::number] for k in range(number)]
-
-    def fits(self):
-        """Raises Unfit with one plain line."""
-        groups = self.groups()
-        processes = len(groups) + len(self.real)
-        if processes > MOST_PROCESSES:
-            raise Unfit(f"{processes} processes are more than {MOST_PROCESSES}: fewer --real, more --each")
-        if self.port + 2 * self.count > 65_536:
-            raise Unfit(f"ports end at 65535: {2 * self.count} from {self.port} on are needed")
-        needed = len(groups) * PROCESS_BYTES + (self.count - len(self.real)) * HOLLOW_BYTES
-        needed += len(self.real) * REAL_BYTES
-        total, free = memory()
-        allowed = min(int(total * MEMORY_SHARE), free)
-        if needed > allowed:
-            raise Unfit(f"{needed >> 20} MB are needed and {allowed >> 20} MB are there: fewer --nodes")
-        as_soft = resource.getrlimit(resource.RLIMIT_AS)[0]
-        # Each node has a thread for its disk, whose stack is counted there though it is not in memory.
-        largest = max([PROCESS_BYTES + len(group) * (HOLLOW_BYTES + STACK) for group in groups], default=0)
-        if 0 <= as_soft < largest:
-            raise Unfit(f"a process may have {as_soft >> 20} MB, {largest >> 20} MB are needed (ulimit -v)")
-        soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        # A node: its socket, its folder's lock and a file being written; this process: three pipes each.
-        widest = max([3 * len(group) + 64 for group in groups] + [4 * processes + 2 * self.executors + 64])
-        if 0 <= soft < widest:
-            raise Unfit(f"{widest} descriptors are needed and {soft} allowed (ulimit -n): fewer --each")
-        for kind, port in self.ports():
-            with socket.socket(socket.AF_INET, kind) as one:
-                if kind == socket.SOCK_STREAM:
-                    one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                try:
-                    one.bind((self.host, port))
-                except OSError as problem:
-                    raise Unfit(f"port {port} of {self.host}: {problem.strerror.lower()}") from None
-
-    def ports(self):
-        for i in range(self.count):
-            yield socket.SOCK_DGRAM, self.port + i
-        for i in self.real:
-            yield socket.SOCK_STREAM, self.port + i
-            yield socket.SOCK_STREAM, self.port + self.count + i
-
-    # What the nodes are told.
-
-    def wanted(self, node):
-        """The teams whose work comes in at that node."""
-        if self.scene == "peak":
-            return [team(i) for i in range(TEAMS)]
-        draw = random.Random(f"teams {self.seed} {node}")
-        return [team(i) for i in draw.sample(range(TEAMS), 2)]
-
-    @property
-    def every(self):
-        return 0.5 if self.scene == "peak" else 1.0
-
-    @property
-    def hold(self):
-        return self.lease
-
-    def shares(self):
-        """Of each second team a limit a second, of the others one on what is under way. At the peak none
-        binds, as what is short is asked for more often; else two of eight let half of what is wanted through.
+    def __init__(self, settings, say=lambda text: None):
+        self.settings = settings
+        self.layout = FleetLayout(settings)
+        self.say = say
+        self.children = []
+        self.child_of = {}
+        limits = tenant_limits(self.layout.limits_section())
+        self.checker = InvariantChecker(self.layout, limits, self.command_all, say)
+        self.measurement = Measurement(self)
+        self.operators = ScaleOperators(self)
+        self.agreement_times = {}
+        self.down_nodes = set()
+        self._folder = None
+        self._discovery = None
+        self._executors = []
+
+    async def play(self):
+        """Plays the run; returns its result document.
+
+        Raises:
+            DoesNotFitError: It does not fit this machine; nothing has begun.
+            OSError: A process could not be started, has ended or did not answer.
         """
-        offered = Counter(name for i in range(self.count) for name in self.wanted(i))
-        limits = []
-        for i in range(TEAMS):
-            tries = max(offered[team(i)], 1) / self.every
-            part = 0.5 if self.scene != "peak" and i % 8 < 2 else 4
-            row = {"name": team(i), "tenant": team(i)}
-            if i % 2 == 0:
-                row |= {"rate": max(tries * part, 1.0), "burst": self.count}
-            else:
-                row |= {"underWay": max(int(tries * self.hold / 2 * part), 1)}
-            limits.append(row)
-        return {"leaseMs": self.lease * 1000, "drift": DRIFT, "runMs": self.hold * 1000, "limits": limits}
-
-    def told(self, node, folder):
-        settings = plain.settings([OPERATION], self.count, node, self.zones[node], ZONES)
-        settings["parties"] = [{"name": team(i), "quotaRps": 1000} for i in range(TEAMS)]
-        settings["rules"] |= {"drainGraceMs": GRACE * 1000, "rampTimeMs": RAMP * 1000}
-        settings["operations"][0]["windowMs"] = WINDOW * 1000
-        return {
-            "name": f"n{node}",
-            "listen": f"{self.host}:{self.port + node}",
-            "console": f"{self.host}:{self.port + self.count + node}",
-            "discovery": "%s:%d" % self.discovery.address,
-            "seed": f"{self.seed}-n{node}",
-            "known": self.discovery.listing(),
-            "settings": settings,
-            "peers": [f"{self.host}:{self.port + i}" for i in range(self.count)],
-            "fleet": {
-                "name": f"scale {self.seed}",
-                "folder": str(folder / f"n{node}"),
-                "voters": self.voters,
-                "waitMs": self.wait * 1000,
-            },
-            "maintenance": {"leaseMs": self.lease * 1000, "drift": DRIFT},
-            "shares": self.shares(),
-        }
-
-    def child(self, nodes, real):
-        folder = Path(self.folder, f"p{len(self.children)}")
+        check_capacity(self.layout)
+        start = time.monotonic()
+        try:
+            await self._open()
+            await self._begin()
+            await PLAYS[self.settings.scene](self)
+            await self._end()
+        finally:
+            await self._close()
+        return result_document(self, time.monotonic() - start)
+
+    # Processes.
+
+    async def _open(self):
+        # Each real node has a disk of its own; one for all would hold all of them up.
+        place = SHARED_MEMORY if os.access(SHARED_MEMORY, os.W_OK) else None
+        self._folder = tempfile.mkdtemp(prefix="grebedyke-scale-", dir=place)
+        await self._open_executors()
+        for group in self.layout.hollow_groups():
+            self._add_child(group, is_real=False)
+        for node in sorted(self.layout.real_nodes):
+            self._add_child([node], is_real=True)
+        # The first voter comes last, see `_begin`; as a hollow node it waits in its process.
+        last = self.child_of[0]
+        first = [child for child in self.children if not (child is last and child.is_real)]
+        self.say(f"{len(self.children)} processes, {len(self.layout.real_nodes)} of them real nodes")
+        await self._start_children(first)
+
+    async def _open_executors(self):
+        self._discovery = await Discovery().listen()
+        for index in range(self.settings.executors):
+            name = f"s-{index}"
+            executor = await Executor(name, {}, Worker(4, 1.0), Script([], index)).listen()
+            self._executors.append(executor)
+            zone = ZONES[index % len(ZONES)]
+            self._discovery.put(self._discovery.row(name, executor.address, zone, "full"))
+
+    def _add_child(self, nodes, is_real):
+        folder = Path(self._folder, f"p{len(self.children)}")
         folder.mkdir()
         path = folder / "node.json"
-        path.write_text(json.dumps(self.told(nodes[0], folder)))
-        rows = [
+        path.write_text(json.dumps(self.layout.node_configuration(nodes[0], folder, self._discovery)))
+        settings = ProcessSettings(
+            configuration_file=str(path),
+            folder=str(folder),
+            seed=self.settings.seed,
+            endpoint_rows=self._endpoint_rows(),
+            broken_build=self.settings.build,
+            nodes=[[node, self.layout.wanted_tenants(node)] for node in nodes],
+            operation=OPERATION.name,
+            demand_interval=int(self.settings.demand_interval * TICKS_PER_SECOND),
+            longest_run=int(self.settings.longest_run * TICKS_PER_SECOND),
+            loss_probability=self.settings.loss,
+            mean_delay=self.settings.delay,
+        )
+        own_variables = ("BALANCER_", "GREBEDYKE_")
+        environment = {key: value for key, value in os.environ.items() if not key.startswith(own_variables)}
+        environment |= settings.to_environment()
+        environment |= {"TMPDIR": str(folder), "PYTHONHASHSEED": "0"}
+        if is_real:
+            environment["BALANCER_CONFIG"] = str(path)
+        module = REAL_MODULE if is_real else HOLLOW_MODULE
+        child = ChildProcess(nodes, module, environment, folder / "log", is_real)
+        self.children.append(child)
+        for node in nodes:
+            self.child_of[node] = child
+
+    def _endpoint_rows(self):
+        return [
             (row["name"], None, row["zone"], row["type"], 0, "healthy", 0, row["weight"])
-            for row in self.discovery.listing()["endpoints"]
+            for row in self._discovery.listing()["endpoints"]
         ]
-        given = {
-            "file": str(path),
-            "folder": str(folder),
-            "seed": self.seed,
-            "rows": rows,
-            "build": self.build,
-            "nodes": [[i, self.wanted(i)] for i in nodes],
-            "operation": OPERATION.name,
-            "every": int(self.every * 10_000),
-            "hold": int(self.hold * 10_000),
-            "loss": self.loss,
-            "delay": self.delay,
-        }
-        environ = {k: v for k, v in os.environ.items() if not k.startswith(("BALANCER_", "GREBEDYKE_"))}
-        environ |= {"GREBEDYKE_SCALE": json.dumps(given), "TMPDIR": str(folder), "PYTHONHASHSEED": "0"}
-        if real:
-            environ |= {"BALANCER_CONFIG": str(path)}
-        module = "grebedyke.testbed.counted_node" if real else "grebedyke.testbed.hollow_node"
-        child = Child(nodes, module, environ, folder / "log", real)
-        self.children.append(child)
-        for i in nodes:
-            self.at[i] = child
-        return child
 
-    # The run.
+    async def _start_children(self, children):
+        await asyncio.gather(*(child.start() for child in children))
+        await asyncio.wait_for(asyncio.gather(*(child.is_up for child in children)), START_TIMEOUT)
 
-    async def play(self):
-        """What a run gives, see `result`. Raises Unfit before anything has begun, OSError where it failed."""
-        self.fits()
-        began = time.monotonic()
-        try:
-            await self.open()
-            await self.begin()
-            await SCENE[self.scene](self)
-            await self.end()
-        finally:
-            await self.close()
-        return self.result(time.monotonic() - began)
+    def running_children(self):
+        """Returns the processes that run."""
+        return [child for child in self.children if child.is_running()]
 
-    async def open(self):
-        # Each real node has a disk of its own; one for all would hold all of them up.
-        place = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
-        self.folder = tempfile.mkdtemp(prefix="grebedyke-scale-", dir=place)
-        self.discovery = await Discovery().listen()
-        for i in range(self.executors):
-            name, zone = f"s-{i}", ZONES[i % len(ZONES)]
-            executor = await Executor(name, self.ends, Worker(4, 1.0), Script([], i)).listen()
-            self.stand_ins.append(executor)
-            self.discovery.put(self.discovery.row(name, executor.address, zone, "full"))
-        for group in self.groups():
-            self.child(group, False)
-        for i in sorted(self.real):
-            self.child([i], True)
-        self.looking = Looking(self, limits_of(self.shares()))
-        last = self.at[0]
-        first = [child for child in self.children if not (child is last and child.real)]
-        self.say(f"{len(self.children)} processes, {len(self.real)} of them real nodes")
-        await self.up(first)
-
-    async def up(self, children):
-        await asyncio.gather(*(child.start() for child in children))
-        await asyncio.wait_for(asyncio.gather(*(child.up for child in children)), UP)
+    async def command_all(self, name, **parameters):
+        """Has a command carried out by all processes that run; returns their answers."""
+        commands = [child.command(name, **parameters) for child in self.running_children()]
+        return await asyncio.gather(*commands)
+
+    async def kill(self, nodes):
+        """Kills nodes: real ones with their processes."""
+        self.down_nodes |= {*nodes}
+        real = [child for child in self.children if child.is_real and child.nodes[0] in self.down_nodes]
+        await self.checker.before_kill(real)
+        for child in self.children:
+            down = [node for node in child.nodes if node in self.down_nodes]
+            if child.is_real and down:
+                await child.kill()
+            elif down:
+                await child.command("end", nodes=down)
 
-    async def begin(self):
-        """The first voter comes last, and who has waited longer becomes the holder: so driver and holder are
-        mostly two nodes at once.
+    async def restart(self, nodes):
+        """Starts nodes that were killed."""
+        for child in self.children:
+            own = [node for node in child.nodes if node in nodes]
+            if own and not child.is_real:
+                await child.command("start", nodes=own, within=START_SPREAD / 2)
+        real = [child for child in self.children if child.is_real and child.nodes[0] in nodes]
+        await self._start_children(real)
+        await self.command_all("demand", on=True)
+        self.down_nodes -= {*nodes}
+
+    # The beginning and the end.
+
+    async def _begin(self):
+        """Starts the nodes and their demand.
+
+        The first voter comes last. As who has waited longer becomes the lease holder, the driver of plans and
+        the holder are mostly two nodes at once.
         """
-        start, last = time.monotonic(), self.at[0]
+        start = time.monotonic()
         for child in self.children:
-            if not child.real:
-                nodes = [i for i in child.nodes if i != 0]
-                await child.ask("start", nodes=nodes, within=SPREAD if len(child.nodes) > 1 else 0.2)
-        await asyncio.sleep(self.lease * 0.75)
-        if last.real:
-            await self.up([last])
+            if not child.is_real:
+                nodes = [node for node in child.nodes if node != 0]
+                spread = START_SPREAD if len(child.nodes) > 1 else SINGLE_START_SPREAD
+                await child.command("start", nodes=nodes, within=spread)
+        await asyncio.sleep(self.settings.lease * FIRST_VOTER_DELAY)
+        last = self.child_of[0]
+        if last.is_real:
+            await self._start_children([last])
         else:
-            await last.ask("start", nodes=[0], within=0)
-        self.times["at the start"] = await self.agreed("at the start", AGREE, start)
-        if self.lead:
-            await self.led()
-        await self.all("demand", on=True)
-        await self.all("freeze")
+            await last.command("start", nodes=[0], within=0)
+        await self.until_agreed("at the start", FIRST_AGREEMENT_TIMEOUT, start)
+        if self.settings.lead:
+            await self._establish_leaders()
+        await self.command_all("demand", on=True)
+        await self.command_all("freeze")
         # Until what was wanted at once has been granted, and what is dropped after a lease has been.
-        await self.looking.on(3 * self.lease + self.hold)
+        await self.watch_leases(3)
+
+    async def _establish_leaders(self):
+        """Makes the second voter the lease holder: whoever else came first is killed until then.
+
+        Of a holder that is lost the first voter is the successor; it is to drive plans.
 
-    async def led(self):
-        """The second voter is the holder: whoever else came first is killed until then. Of a loss the first
-        voter is the heir, and drives plans.
+        Raises:
+            OSError: It has not become so.
         """
-        for _ in range(4):
-            holder = await self.holder()
-            if holder == self.voters[1]:
+        for _ in range(LEADERSHIP_TRIES):
+            holder = await self.lease_holder()
+            if holder == self.layout.voters[1]:
                 return
-            lost = [holder, *([0] if len(self.voters) > 3 and holder else [])]
+            lost = [holder, *([0] if len(self.layout.voters) > 3 and holder else [])]
             await self.kill(lost)
-            end = time.monotonic() + AGREE
-            while await self.holder() in (None, holder) and time.monotonic() < end:
-                await self.looking.on(0.2)
-            await self.again(lost)
-            await self.agreed("with another holder", AGREE, time.monotonic())
-        raise OSError(f"node {self.voters[1]} has not become the holder")
-
-    async def holder(self):
-        """The living node that holds the limits, None where none does."""
-        for told in await self.all("mark"):
-            for node, row in told["nodes"].items():
-                if row["role"] == "holder":
+            end = time.monotonic() + FIRST_AGREEMENT_TIMEOUT
+            while await self.lease_holder() in (None, holder) and time.monotonic() < end:
+                await self.checker.watch(0.2)
+            await self.restart(lost)
+            await self._measure_agreement("with another holder", FIRST_AGREEMENT_TIMEOUT, time.monotonic())
+        raise OSError(f"node {self.layout.voters[1]} has not become the holder")
+
+    async def lease_holder(self):
+        """Returns the node that holds the limits' lease, None where none does."""
+        for answer in await self.command_all("mark"):
+            for node, counters in answer["nodes"].items():
+                if counters["role"] == HOLDER:
                     return int(node)
         return None
 
-    async def all(self, do, children=None, **given):
-        return await asyncio.gather(
-            *(
-                child.ask(do, **given)
-                for child in (children or self.children)
-                if child.process.returncode is None
-            )
-        )
+    async def watch_leases(self, count):
+        """Watches for so many leases, and for as long as the longest request runs."""
+        await self.checker.watch(count * self.settings.lease + self.settings.longest_run)
+
+    async def until_agreed(self, when, timeout, since):
+        """Waits until all nodes agree, and keeps how long that took.
+
+        Args:
+            when: The occasion.
+            timeout: Seconds from `since` after which it is a broken promise.
+            since: The monotonic time from which on it is measured.
 
-    async def agreed(self, when, within, since):
-        """Seconds from then until all nodes agree; None, and a broken invariant, where not in time."""
-        while not await self.looking.look():
-            if time.monotonic() > since + within:
-                self.looking.fault(
-                    "all nodes agree", f"{when}: not within {within:g} s: {self.looking.words}"
-                )
+        Returns:
+            The seconds that it took, None where it took too long.
+        """
+        seconds = await self._measure_agreement(when, timeout, since)
+        self.agreement_times[when] = seconds
+        return seconds
+
+    async def _measure_agreement(self, when, timeout, since):
+        while not await self.checker.look():
+            if time.monotonic() > since + timeout:
+                detail = f"{when}: not within {timeout:g} s: {self.checker.state}"
+                self.checker.report("all nodes agree", detail)
                 return None
-            await asyncio.sleep(0.1)
-        took = time.monotonic() - since
-        self.say(f"all {self.count} nodes agree {when}, after {took:.1f} s")
-        return took
-
-    async def weigh(self):
-        found = {}
-        for told in await self.all("weigh"):
-            found |= {int(i): x for i, x in told["nodes"].items()}
-        return found
-
-    async def mark(self):
-        """The counters of all processes that are up."""
-        up = [child for child in self.children if child.process.returncode is None]
-        return dict(zip(up, await asyncio.gather(*(child.ask("mark") for child in up)), strict=True))
-
-    async def window(self, name, seconds, roles=()):
-        """Counts for so long, under that name. `roles`: what the run knows better than the nodes."""
-        heavy = seconds >= 1
-        before = await self.weigh() if heavy else {}
-        drops, start, known = self.dropped(), await self.mark(), len(self.looking.values)
-        await self.looking.on(seconds)
-        end = await self.mark()
-        after = await self.weigh() if heavy else {}
-        self.measured(name, start, end, drops, before, after, dict(roles), known)
-
-    def measured(self, name, start, end, drops, before, after, roles, known):
-        rows, lag, late = [], 0.0, []
-        for child, now in end.items():
-            then = start.get(child)
-            span = now["at"] - (then["at"] if then else now["began"])
-            if len(child.nodes) > 1:
-                lag = max(lag, now["lag"])
-                late.append(now["late"])
-            for node, told in now["nodes"].items():
-                was = (
-                    then["nodes"][node] if then else {"counts": [0] * 4, "kinds": {}, "took": 0.0, "calls": 0}
-                )
-                i = int(node)
-                counts = [(a - b) / span for a, b in zip(told["counts"], was["counts"], strict=True)]
-                rows.append(
-                    {
-                        "node": i,
-                        "seconds": span,
-                        "real": child.real,
-                        "role": both(roles.get(i), told["role"]),
-                        "messages_out": counts[0],
-                        "bytes_out": counts[1],
-                        "messages_in": counts[2],
-                        "bytes_in": counts[3],
-                        "cpu_parts": (told["took"] - was["took"]) / span * 100,
-                        "calls": (told["calls"] - was["calls"]) / span,
-                        "cpu_process": (now["cpu"] - (then or {"cpu": 0})["cpu"])
-                        / span
-                        * 100
-                        / len(child.nodes),
-                        "memory": now["memory"]["own"] / len(child.nodes),
-                        # Of a process of its own, with what it shares with others.
-                        **({"resident": now["memory"]["resident"]} if len(child.nodes) == 1 else {}),
-                        "kinds": {k: n - was["kinds"].get(k, 0) for k, n in told["kinds"].items()},
-                        **(
-                            {"objects": after[i]["objects"], "state": after[i]["bytes"]} if i in after else {}
-                        ),
-                    }
-                )
-        seconds = median(now["at"] - start[child]["at"] for child, now in end.items() if child in start)
-        window = self.windows[name] = {
-            "seconds": seconds,
-            "lag_ms": lag * 1000,
-            "values": len(self.looking.values) - known,
-            "yardstick_us": yardstick(),
-            "late_beats": max(late, default=0.0),
-            "memory": sum(now["memory"]["own"] for now in end.values()),
-            "dropped": self.dropped() - drops,
-            "nodes": rows,
-            "kinds": dict(sum((Counter(row["kinds"]) for row in rows), Counter())),
-            "load": os.getloadavg()[0],
-        }
-        # By how many entries each container has grown, where there are several at a place the mean of them.
-        grown = {}
-        for node, told in after.items() if before else ():
-            was = before.get(node, {"lengths": {}})["lengths"]
-            for path, (n, containers) in told["lengths"].items():
-                more = (n - was.get(path, (0, 0))[0]) / max(containers, 1)
-                grown[path] = max(grown.get(path, 0), more)
-        window["grown"] = {path: more for path, more in grown.items() if more > 0}
-        self.say(f"{name}: {seconds:.0f} s counted, the loop late by {lag * 1000:.0f} ms at most")
-
-    def dropped(self):
-        """Datagrams that found a full buffer at this run's sockets."""
-        mine, n = "".join(f"{int(x):02X}" for x in reversed(self.host.split("."))), 0
-        with open("/proc/net/udp") as file:
-            for line in file:
-                words = line.split()
-                if words[1].startswith(mine + ":"):
-                    n += int(words[-1])
-        return n
-
-    # Scenes.
-
-    async def calm(self):
-        await self.window("calm", self.seconds)
-
-    async def peak(self):
-        plans = asyncio.ensure_future(self.plan_on())
-        try:
-            while not self.looking.plan:
-                await self.looking.on(0.2)
-                if plans.done():
-                    plans.result()
-            driver = min(set(self.voters) - self.down)
-            await self.window("peak", self.seconds, [(driver, "driver"), (self.operators(), "asked")])
-        finally:
-            plans.cancel()
-            await asyncio.gather(plans, return_exceptions=True)
-        # The plan that is under way ends: nothing is left out.
-        await self.call("/v1/maintenance/abort")
-
-    async def plan_on(self):
-        """One plan after another, and the operators' hands."""
-        while True:
-            self.plans += 1
-            plan = {
-                "machines": [f"s-{i}" for i in range(self.executors)],
-                "most": 4,
-                "workMs": 600_000,
-                "leastShare": 0.5,
-                "id": f"plan-{self.plans}",
-            }
-            status, text = await self.call("/v1/maintenance/plan", plan)
-            self.looking.promised(status, text)
-            worked = set()
-            while True:
-                status, text = await self.ask_node(self.operators(), "GET", "/v1/maintenance")
-                told = json.loads(text) if status == 200 else None
-                if told and any(row["plan"] == plan["id"] for row in told["past"]):
-                    break
-                for row in told["machines"] if told and told["plan"] == plan["id"] else ():
-                    if row["state"] == "free" and (row["name"], row["number"]) not in worked:
-                        worked.add((row["name"], row["number"]))
-                        await asyncio.sleep(0.05)
-                        await self.call(f"/v1/maintenance/back/{row['name']}/{row['number']}")
-                await asyncio.sleep(0.2)
-
-    def operators(self):
-        """The node that operators ask: none of a role, as its cost is counted with that role's."""
-        return next(i for i in reversed(range(self.count)) if i not in self.down)
-
-    async def ask_node(self, node, method, path, body=None):
-        told = await self.at[node].ask(
-            "call", node=node, method=method, path=path, body=json.dumps(body) if body else ""
-        )
-        return told["status"], told["text"]
-
-    async def call(self, path, body=None):
-        """Again until it is answered by more than a doubt; asking again is harmless."""
-        for _ in range(100):
-            status, text = await self.ask_node(self.operators(), "POST", path, body)
-            if status not in (0, 400, 503):
-                return status, text
-            await asyncio.sleep(0.2)
-        self.looking.fault("calls are answered", f"{path}: {status} {text}")
-        return status, text
-
-    async def zone(self):
-        await self.window("before", self.seconds * 0.3)
-        holder = await self.holder() or 0
-        lost = [i for i in range(self.count) if self.zones[i] == self.zones[holder]]
-        self.say(f"zone {self.zones[holder]} is lost: {len(lost)} nodes")
-        await self.kill(lost)
-        await self.window("while it is lost", self.seconds * 0.3)
-        await self.mend("after the zone is back", lambda: self.again(lost))
-
-    async def cut(self):
-        await self.window("before", self.seconds * 0.3)
-        sides = [[i for i in range(self.count) if self.zones[i] in region] for region in REGIONS]
-        self.say(f"two regions reach each other no more: {len(sides[0])} nodes, {len(sides[1])} nodes")
-        await self.all("cut", apart=sides)
-        await self.window("while they are cut", self.seconds * 0.3)
-        await self.mend("after the cut", lambda: self.all("cut", apart=[]))
-
-    async def restart(self):
-        await self.window("before", self.seconds * 0.4)
-        everyone = list(range(self.count))
-        self.say("all nodes are killed")
-        await self.kill(everyone)
-        await asyncio.sleep(0.5)
-        await self.mend("after the restart", lambda: self.again(everyone))
-
-    async def mend(self, when, heal):
-        """From the fault's end until all agree, and then calm again."""
-        start, drops, since = await self.mark(), self.dropped(), time.monotonic()
-        known = len(self.looking.values)
-        await heal()
-        took = self.times[when] = await self.agreed(when, self.within, since)
-        if took is not None:
-            self.measured(UNTIL, start, await self.mark(), drops, {}, {}, {}, known)
-        await self.looking.on(2 * self.lease + self.hold)
-        await self.window("after", max(self.seconds * 0.3, 1.0))
+            await asyncio.sleep(AGREEMENT_PAUSE)
+        seconds = time.monotonic() - since
+        self.say(f"all {self.settings.nodes} nodes agree {when}, after {seconds:.1f} s")
+        return seconds
 
-    async def kill(self, nodes):
-        self.down |= {*nodes}
-        await self.looking.killing([c for c in self.children if c.real and c.nodes[0] in self.down])
-        for child in self.children:
-            some = [i for i in child.nodes if i in self.down]
-            if child.real and some:
-                await child.kill()
-            elif some:
-                await child.ask("end", nodes=some)
+    async def _end(self):
+        await self.until_agreed("at the end", self.settings.agreement_timeout, time.monotonic())
+        await self.command_all("demand", on=False)
+        await self.checker.finish(self.measurement.windows)
 
-    async def again(self, nodes):
-        reals = [child for child in self.children if child.real and child.nodes[0] in nodes]
-        for child in self.children:
-            if not child.real and (some := [i for i in child.nodes if i in nodes]):
-                await child.ask("start", nodes=some, within=SPREAD / 2)
-        await self.up(reals)
-        await self.all("demand", on=True)
-        self.down -= {*nodes}
-
-    async def end(self):
-        self.times["at the end"] = await self.agreed("at the end", self.within, time.monotonic())
-        await self.all("demand", on=False)
-        await self.looking.close()
-
-    async def close(self):
+    async def _close(self):
         await asyncio.gather(*(child.close() for child in self.children), return_exceptions=True)
-        for executor in self.stand_ins:
+        for executor in self._executors:
             await executor.close()
-        if self.discovery:
-            await self.discovery.close()
-        if self.folder:
-            shutil.rmtree(self.folder, ignore_errors=True)
-
-    # What it gives.
-
-    def result(self, took):
-        windows = {}
-        for name, window in self.windows.items():
-            windows[name] = {key: x for key, x in window.items() if key != "nodes"} | {
-                "roles": rows_of(window["nodes"])
-            }
-        lag = max(window["lag_ms"] for window in self.windows.values())
-        void = None
-        if lag > self.wait * 100:
-            void = f"void: the loop was late by {lag:.0f} ms, more than a tenth of the shortest time-out"
-        last = [*self.windows.values()][-1]
-        return {
-            "shape": {
-                "nodes": self.count,
-                "real": len(self.real),
-                "seed": self.seed,
-                "scene": self.scene,
-                "seconds": self.seconds,
-                "lead": self.lead,
-                "each": self.each,
-                "lease_s": self.lease,
-                "wait_s": self.wait,
-                "voters": self.voters,
-                "teams": TEAMS,
-                "executors": self.executors,
-                "processes": len(self.children),
-                "build": self.build,
-                "loss": self.loss,
-                "delay_s": self.delay,
-            },
-            "machine": {
-                "cores": os.cpu_count(),
-                "load": os.getloadavg()[0],
-                "memory": memory()[0],
-                "python": sys.version.split()[0],
-            },
-            "took_s": took,
-            "times_s": self.times,
-            "windows": windows,
-            "hollow_beside_real": compared(last["nodes"]),
-            "over": over_limits(self.windows),
-            "broken": self.looking.broken,
-            "void": void,
-            "passed": sum(self.looking.passed.values()),
-            "values": len(self.looking.values),
-            "sent": self.looking.sent,
-            "plans": self.plans,
-        }
-
-
-SCENE = {"calm": Run.calm, "peak": Run.peak, "zone": Run.zone, "cut": Run.cut, "restart": Run.restart}
-
-
-def both(known, told):
-    """
-    >>> both("driver", "voter"), both("driver", "holder"), both(None, "holder")
-    ('driver', 'holder and driver', 'holder')
-    """
-    return f"holder and {known}" if known and told == "holder" else known or told
-
+        if self._discovery:
+            await self._discovery.close()
+        if self._folder:
+            shutil.rmtree(self._folder, ignore_errors=True)
 
-def team(i):
-    return f"team {i}"
 
+async def play(say=lambda text: None, **settings):
+    """Plays one run, and ends its processes also where it is cancelled.
 
-def memory():
-    """(bytes of this machine, bytes that are free for more)."""
-    rows = {}
-    with open("/proc/meminfo") as file:
-        for line in file:
-            words = line.split()
-            rows[words[0].rstrip(":")] = int(words[1]) * 1024
-    return rows["MemTotal"], rows["MemAvailable"]
+    Args:
+        say: Called with lines of progress.
+        **settings: Fields of a `ScaleSettings`.
 
-
-async def play(say=lambda text: None, **given):
-    """One run; it ends its processes also where it is cancelled."""
-    run, loop = Run(say=say, **given), asyncio.get_running_loop()
-    task = asyncio.current_task()
-    loop.add_signal_handler(signal.SIGTERM, task.cancel)
+    Returns:
+        Its result document.
+    """
+    run = ScaleRun(ScaleSettings(**settings), say)
+    loop = asyncio.get_running_loop()
+    loop.add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
     try:
         return await run.play()
     finally:
--- a/grebedyke/testbed/simulated_fleet.py
+++ b/grebedyke/testbed/simulated_fleet.py
@@ -1,7 +1,7 @@
-"""The fleet of a scale run in simulated time: the same parts, settings and demand, by `world.py`.
+"""The fleet of a scale run in simulated time: the same components, settings and demand.
 
-Counted as around a hollow node: a datagram is what `frames` makes of a message, the time of the parts has
-packing and unpacking in it, and no system calls.
+Measured as around a hollow node: a datagram is what `framing` makes of a message, the time of the components
+has packing and unpacking in it, and no system calls.
 """
 
 import json
@@ -9,216 +9,310 @@
 from pathlib import Path
 from time import thread_time_ns
 from types import SimpleNamespace
+from typing import NamedTuple
 
 from grebedyke.consensus import framing
 from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.service import configuration
 from grebedyke.service.fleet_assembly import build_components
-from grebedyke.testbed.instrumentation import Asked, operation, weighed
-from grebedyke.testbed.scale_figures import rows_of, yardstick
+from grebedyke.testbed.demand_generator import LimitedRequest
+from grebedyke.testbed.fleet_layout import OPERATION, FleetLayout
+from grebedyke.testbed.memory_census import state_size
+from grebedyke.testbed.scale_figures import NodeUsage, usage_by_role, yardstick
 from grebedyke.testbed.simulated_cluster import SimulatedCluster
 from grebedyke.testbed.simulated_node import SimulatedNode
 from grebedyke.units import TICKS_PER_SECOND
 
-TICK = TICKS_PER_SECOND // 5
+# All times in ticks.
+NETWORK_DELAY = 2
+OPERATOR_INTERVAL = TICKS_PER_SECOND // 5
+OPERATOR_PAUSE = TICKS_PER_SECOND // 20
+# Leases until nodes have found each other, until a holder is replaced, and until demand is steady.
+FOUNDING_LEASES = 6
+SUCCESSION_LEASES = 5
+RETURN_LEASES = 2
+SETTLING_LEASES = 4
+LEADERSHIP_TRIES = 4
+# Process numbers of simulated nodes are as long as real ones, from this one on.
+PROCESS_BASE = 2**55
+MACHINES_OUT = 4
 
 
-class Counted(SimulatedNode):
-    """Its parts are timed; what it sends and hears is counted as datagrams."""
+class Counters(NamedTuple):
+    """What a simulated node has counted.
 
-    def __init__(self, world, me):
-        super().__init__(world, me)
-        self.counts, self.took, self.inside, self.number = [0, 0, 0, 0], 0, False, 0
-        self.whole = framing.Reassembler(world.mark)
+    Attributes:
+        traffic: Datagrams out, bytes out, datagrams in and bytes in.
+        component_time: CPU time of its components, in nanoseconds.
+    """
+
+    traffic: list[int]
+    component_time: int
+
+
+class CountedSimulatedNode(SimulatedNode):
+    """A node whose components are timed, and whose messages are counted as datagrams.
+
+    Attributes:
+        traffic: Datagrams out, bytes out, datagrams in and bytes in.
+        component_time: CPU time of its components, in nanoseconds.
+        reassembler: Makes messages whole again.
+        message_number: Number of its newest message.
+    """
+
+    def __init__(self, cluster, node_id):
+        super().__init__(cluster, node_id)
+        self.traffic = [0, 0, 0, 0]
+        self.component_time = 0
+        self.reassembler = framing.Reassembler(cluster.fleet_tag)
+        self.message_number = 0
+        self._is_timing = False
 
-    def timed(self, call, *args):
-        if self.inside:
-            return call(*args)
-        self.inside, start = True, thread_time_ns()
+    def counters(self):
+        """Returns the `Counters` as they stand."""
+        return Counters(list(self.traffic), self.component_time)
+
+    def _timed(self, call, *arguments):
+        """Calls call(*arguments) and counts its time; calls within another one are counted once."""
+        if self._is_timing:
+            return call(*arguments)
+        self._is_timing = True
+        start = thread_time_ns()
         try:
-            return call(*args)
+            return call(*arguments)
         finally:
-            self.took += thread_time_ns() - start
-            self.inside = False
+            self.component_time += thread_time_ns() - start
+            self._is_timing = False
 
     def run_components(self):
-        self.timed(super().run_components)
+        """Carries out what the components want done."""
+        self._timed(super().run_components)
+
+    def receive_datagrams(self, sender, datagrams):
+        """Takes the datagrams of a message."""
+        self.traffic[2] += len(datagrams)
+        self.traffic[3] += sum(map(len, datagrams))
+        self._timed(self._reassemble, sender, datagrams)
 
-    def came(self, by, data):
-        self.counts[2] += len(data)
-        self.counts[3] += sum(map(len, data))
-        self.timed(self.take, by, data)
+    def _reassemble(self, sender, datagrams):
+        for datagram in datagrams:
+            message = self.reassembler.take(sender, datagram)
+            if message is not None:
+                self.receive(sender, message)
 
-    def take(self, by, data):
-        for frame in data:
-            if (message := self.whole.take(by, frame)) is not None:
-                self.receive(by, message)
 
+class SimulatedFleet(SimulatedCluster):
+    """The fleet of a scale run, of hollow nodes only.
 
-class Scaled(SimulatedCluster):
-    """`run`: the scale run whose fleet it is, of hollow nodes only."""
+    Attributes:
+        layout: The `FleetLayout`.
+        settings: The `ScaleSettings`.
+        lease: In ticks.
+        fleet_tag: Marks the fleet's datagrams.
+        node_configuration: What a node's configuration says.
+        plan_count: Number of plans that operators have given.
+    """
 
-    def __init__(self, run):
-        self.run_of, self.mark = run, framing.fleet_tag(f"scale {run.seed}")
-        self.said = said_of(run)
+    def __init__(self, settings):
+        self.settings = settings
+        self.layout = FleetLayout(settings)
+        self.lease = int(settings.lease * TICKS_PER_SECOND)
+        self.fleet_tag = framing.fleet_tag(f"scale {settings.seed}")
+        self.node_configuration = read_configuration(self.layout)
+        self.plan_count = 0
         super().__init__(
-            run.seed, nodes=run.count, voters=len(run.voters), executors=run.executors, faults=0, drift=0.0
+            settings.seed,
+            nodes=settings.nodes,
+            voters=len(self.layout.voters),
+            executors=settings.executors,
+            faults=0,
+            drift=0.0,
         )
-        self.nodes = [Counted(self, i) for i in range(run.count)]
-        self.operation, self.down = operation("task"), set()
-        self.wants = [run.wanted(i) for i in range(run.count)]
-        self.chance = SeededRandom(f"simulated {run.seed}")
+        self.nodes = [CountedSimulatedNode(self, node_id) for node_id in range(settings.nodes)]
+        self._operation = SimpleNamespace(name=OPERATION.name)
+        self._wanted_tenants = [self.layout.wanted_tenants(node) for node in range(settings.nodes)]
+        self._demand_random = SeededRandom(f"simulated {settings.seed}")
 
-    def components_for(self, host):
-        settings = {**self.said["settings"], "me": host.node_id}
-        return build_components({**self.said, "settings": settings}, host.process + 2**55, host.clock())
+    def components_for(self, node):
+        """Returns the components that a node's configuration names."""
+        settings = {**self.node_configuration["settings"], "me": node.node_id}
+        node_configuration = {**self.node_configuration, "settings": settings}
+        return build_components(node_configuration, node.process + PROCESS_BASE, node.clock())
 
-    def value_learned(self, node, key, value):
-        """Judged in the rounds of `torture`, not here."""
+    def value_learned(self, node_id, key, value):
+        """Checks nothing: the rounds of `torture` do."""
 
-    def record_acceptance(self, host):
-        """Nor this."""
+    def record_acceptance(self, node):
+        """Checks nothing either."""
 
-    def send(self, by, to, message):
-        host = self.nodes[by]
-        host.number += 1
-        data = framing.pack(self.mark, host.number, message)
-        host.counts[0] += len(data)
-        host.counts[1] += sum(map(len, data))
-        self.schedule(2, self.come, by, to, data)
+    def send(self, sender, receiver, message):
+        """Sends a message as datagrams."""
+        node = self.nodes[sender]
+        node.message_number += 1
+        datagrams = framing.pack(self.fleet_tag, node.message_number, message)
+        node.traffic[0] += len(datagrams)
+        node.traffic[1] += sum(map(len, datagrams))
+        self.schedule(NETWORK_DELAY, self._deliver_datagrams, sender, receiver, datagrams)
 
-    def come(self, by, to, data):
-        if self.nodes[to].is_running:
-            self.nodes[to].came(by, data)
+    def _deliver_datagrams(self, sender, receiver, datagrams):
+        if self.nodes[receiver].is_running:
+            self.nodes[receiver].receive_datagrams(sender, datagrams)
 
     # What goes on there.
 
-    def ask(self, host, every, hold):
-        self.schedule(int(every * (0.5 + self.chance.draw())) + 1, self.ask, host, every, hold)
-        if not host.is_running:
-            return
-        limiter = host.components[-1].request_limiter
-        for tenant in self.wants[host.node_id]:
-            inv = Asked(self.operation, tenant)
-            if not limiter.try_acquire(host.clock(), inv) and inv in limiter.acquired_slots:
-                self.schedule(int(hold * (0.1 + 0.85 * self.chance.draw())), limiter.release, inv)
-        host.run_components()
-
-    def holder(self):
-        return next(
-            (h.node_id for h in self.nodes if h.is_running and h.components[-1].election.is_holder()), None
-        )
-
-    def led(self):
-        """As in the run: the second voter holds the limits, the first one drives."""
-        lease = int(self.run_of.lease * TICKS_PER_SECOND)
-        for _ in range(4):
-            if (holder := self.holder()) == 1:
+    def found(self):
+        """Starts all nodes, and makes the second voter the lease holder, as the run does."""
+        for node in self.nodes:
+            self.schedule(self.random.randrange(1, TICKS_PER_SECOND), node.start)
+        self.run(FOUNDING_LEASES * self.lease)
+        for _ in range(LEADERSHIP_TRIES):
+            holder = self.lease_holder()
+            if holder == 1:
                 return
             lost = {holder, *([0] if self.node_count >= 7 else [])} - {None}
-            for i in lost:
-                self.nodes[i].crash()
-            self.run(self.now + 5 * lease)
-            for i in lost:
-                self.nodes[i].start()
-            self.run(self.now + 2 * lease)
-
-    def operate(self):
-        """Plan after plan, and the operators' hands, at the node that the run asks as well."""
-        self.schedule(TICK, self.operate)
-        host = self.nodes[-1]
-        part = host.components[1]
-        told = part.status(host.clock())
-        if not told["plan"] and told["sure"]:
-            self.plans += 1
+            for node_id in lost:
+                self.nodes[node_id].crash()
+            self.run(self.now + SUCCESSION_LEASES * self.lease)
+            for node_id in lost:
+                self.nodes[node_id].start()
+            self.run(self.now + RETURN_LEASES * self.lease)
+
+    def lease_holder(self):
+        """Returns the node that holds the limits' lease, None where none does."""
+        for node in self.nodes:
+            if node.is_running and node.components[-1].election.is_holder():
+                return node.node_id
+        return None
+
+    def start_demand(self):
+        """Lets the demand of all nodes begin."""
+        interval = int(self.settings.demand_interval * TICKS_PER_SECOND)
+        for node in self.nodes:
+            self.schedule(self.random.randrange(1, interval), self._request_all, node, interval)
+
+    def _request_all(self, node, interval):
+        delay = int(interval * (0.5 + self._demand_random.draw())) + 1
+        self.schedule(delay, self._request_all, node, interval)
+        if not node.is_running:
+            return
+        limiter = node.components[-1].request_limiter
+        longest_run = int(self.settings.longest_run * TICKS_PER_SECOND)
+        for tenant in self._wanted_tenants[node.node_id]:
+            request = LimitedRequest(self._operation, tenant)
+            is_admitted = not limiter.try_acquire(node.clock(), request)
+            if is_admitted and request in limiter.acquired_slots:
+                running = int(longest_run * (0.1 + 0.85 * self._demand_random.draw()))
+                self.schedule(running, limiter.release, request)
+        node.run_components()
+
+    def start_plans(self):
+        """Lets operators carry out plan after plan, at the node that the run asks as well."""
+        self.schedule(OPERATOR_INTERVAL, self.start_plans)
+        node = self.nodes[-1]
+        maintenance = node.components[1]
+        state = maintenance.status(node.clock())
+        if not state["plan"] and state["sure"]:
+            self.plan_count += 1
             plan = {
-                "machines": [e.name for e in self.executors],
-                "most": 4,
+                "machines": [executor.name for executor in self.executors],
+                "most": MACHINES_OUT,
                 "workMs": 600_000,
                 "leastShare": 0.5,
-                "id": f"plan-{self.plans}",
+                "id": f"plan-{self.plan_count}",
             }
-            part.operator_call(
-                host.clock(), lambda status, text: None, b"POST", b"/v1/maintenance/plan", plan
-            )
-        free = [row for row in told["machines"] if row["state"] == "free"]
-        for i, row in enumerate((row for row in free if row["number"] not in self.handled_work), 1):
-            # One after another, as the hands of a run's operators work.
-            self.handled_work.add(row["number"])
+            maintenance.operator_call(node.clock(), ignore_answer, b"POST", b"/v1/maintenance/plan", plan)
+        free = [row for row in state["machines"] if row["state"] == "free"]
+        new = [row for row in free if row["number"] not in self.operators.handled_work]
+        for position, row in enumerate(new, 1):
+            # One after another, as the operators of a run work.
+            self.operators.handled_work.add(row["number"])
             path = f"/v1/maintenance/back/{row['name']}/{row['number']}".encode()
-            self.schedule(i * TICKS_PER_SECOND // 20, self.back, host, path)
-        host.run_components()
+            self.schedule(position * OPERATOR_PAUSE, self._confirm_back, node, path)
+        node.run_components()
+
+    def _confirm_back(self, node, path):
+        node.components[1].operator_call(node.clock(), ignore_answer, b"POST", path, None)
+        node.run_components()
+
+    def newest_revision(self):
+        """Returns the newest revision of the rollout at any node."""
+        return max(node.components[1].rollout.revision for node in self.nodes)
+
 
-    def back(self, host, path):
-        host.components[1].operator_call(host.clock(), lambda status, text: None, b"POST", path, None)
-        host.run_components()
+def ignore_answer(status, text):
+    """Takes the answer to an operator's call."""
 
 
-def said_of(run):
-    """What a node's configuration says; read and checked as a node does."""
+def read_configuration(layout):
+    """Returns what a node's configuration says; read and checked as a node does."""
+    listing = {"index": 1, "endpoints": []}
+    discovery = SimpleNamespace(address=("127.0.0.1", 9), listing=lambda: listing)
     with tempfile.TemporaryDirectory() as folder:
-        listing = {"index": 1, "endpoints": []}
-        run.discovery = SimpleNamespace(address=("127.0.0.1", 9), listing=lambda: listing)
         path = Path(folder, "node.json")
-        path.write_text(json.dumps(run.told(0, Path(folder))))
+        path.write_text(json.dumps(layout.node_configuration(0, Path(folder), discovery)))
         return configuration.read_node({"BALANCER_CONFIG": str(path)})
 
 
-def beside(run, seconds):
-    """Changes of the board a second and rows by role (`rows_of`), over so many simulated seconds of the
-    run's scene, calm or peak.
+def play(settings, seconds):
+    """Plays the calm or the peak scene of a scale run.
+
+    Args:
+        settings: The run's `ScaleSettings`.
+        seconds: How long it is measured, in simulated time.
+
+    Returns:
+        Changes of the rollout a second, the yardstick, and what the nodes used by role, as the JSON file of a
+        run has them.
     """
-    world = Scaled(run)
-    lease, span = int(run.lease * TICKS_PER_SECOND), int(seconds * TICKS_PER_SECOND)
-    for host in world.nodes:
-        world.schedule(world.random.randrange(1, TICKS_PER_SECOND), host.start)
-    world.run(6 * lease)
-    world.led()
-    for host in world.nodes:
-        every, hold = int(run.every * TICKS_PER_SECOND), int(run.hold * TICKS_PER_SECOND)
-        world.schedule(world.random.randrange(1, every), world.ask, host, every, hold)
-    world.run(world.now + 4 * lease)
-    roles = {}
-    if run.scene == "peak":
-        world.plans = 0
-        world.operate()
-        world.run(world.now + TICKS_PER_SECOND)
-        roles = {0: "driver", world.node_count - 1: "asked"}
-    start = [(list(host.counts), host.took) for host in world.nodes]
-    boards = rev(world)
-    world.run(world.now + span)
-    boards = (rev(world) - boards) / seconds
-    rows = []
-    for host, (counts, took) in zip(world.nodes, start, strict=True):
-        per = [(a - b) * TICKS_PER_SECOND / span for a, b in zip(host.counts, counts, strict=True)]
-        votes = (
-            "holder"
-            if host.components[-1].election.is_holder()
-            else "voter"
-            if host.components[0].is_voting()
-            else "other"
-        )
-        objects, size = weighed(host.components, host.whole)
-        rows.append(
-            {
-                "node": host.node_id,
-                "real": False,
-                "role": roles.get(host.node_id, votes),
-                "messages_out": per[0],
-                "bytes_out": per[1],
-                "messages_in": per[2],
-                "bytes_in": per[3],
-                "cpu_parts": (host.took - took) / 1e9 / (span / TICKS_PER_SECOND) * 100,
-                "objects": objects,
-                "state": size,
-            }
-        )
+    fleet = SimulatedFleet(settings)
+    fleet.found()
+    fleet.start_demand()
+    fleet.run(fleet.now + SETTLING_LEASES * fleet.lease)
+    known_roles = {}
+    if settings.scene == "peak":
+        fleet.start_plans()
+        fleet.run(fleet.now + TICKS_PER_SECOND)
+        known_roles = {0: "driver", fleet.node_count - 1: "asked"}
+    start = [node.counters() for node in fleet.nodes]
+    first_revision = fleet.newest_revision()
+    span = int(seconds * TICKS_PER_SECOND)
+    fleet.run(fleet.now + span)
+    changes = fleet.newest_revision() - first_revision
+    usages = [
+        _usage(node, counters, span, known_roles.get(node.node_id))
+        for node, counters in zip(fleet.nodes, start, strict=True)
+    ]
     return {
-        "boards_a_second": boards,
+        "boards_a_second": changes / seconds,
         "yardstick_us": yardstick(),
-        "roles": [{**row, "kind": "simulated"} for row in rows_of(rows)],
+        "roles": [usage.document() for usage in usage_by_role(usages, simulated=True)],
     }
 
 
-def rev(world):
-    return max(host.components[1].rollout.revision for host in world.nodes)
+def _usage(node, start, span, known_role):
+    """Returns the `NodeUsage` of a node since its `Counters` of `start`, `span` ticks ago."""
+    end = node.counters()
+    per_second = [
+        (last - first) * TICKS_PER_SECOND / span
+        for last, first in zip(end.traffic, start.traffic, strict=True)
+    ]
+    size = state_size(node.components, node.reassembler)
+    names = ("messages_out", "bytes_out", "messages_in", "bytes_in")
+    counts = dict(zip(names, per_second, strict=True))
+    component_seconds = (end.component_time - start.component_time) / 1e9
+    counts["cpu_parts"] = component_seconds / (span / TICKS_PER_SECOND) * 100
+    counts["objects"] = size.objects
+    counts["state"] = size.size
+    return NodeUsage(
+        node=node.node_id,
+        seconds=span / TICKS_PER_SECOND,
+        is_real=False,
+        role=known_role or _own_role(node),
+        counts=counts,
+    )
+
+
+def _own_role(node):
+    if node.components[-1].election.is_holder():
+        return "holder"
+    return "voter" if node.components[0].is_voting() else "other"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Scale runs, small ones: hollow nodes beside real ones, judged by counts and not by times; loopback only."""
+"""Scale runs, small ones: hollow nodes beside real ones, checked by counts and not by times; loopback."""
 
 import asyncio
 import os
@@ -8,16 +8,21 @@
 import socket
 import subprocess
 import sys
-from types import SimpleNamespace
 
 import pytest
 from click.testing import CliRunner
 
 from grebedyke.commands.main import cli
 from grebedyke.rate_limits.definitions import LimitKind
-from grebedyke.testbed import broken_builds, scale_figures, scale_run, simulated_fleet
-from grebedyke.testbed.instrumentation import SPAN, Seen
-from grebedyke.testbed.invariant_checker import Looking
+from grebedyke.testbed import broken_builds, scale_capacity, scale_figures, scale_report, simulated_fleet
+from grebedyke.testbed.demand_generator import ADMISSION_SPAN, ENDED, STARTED, TenantLimit
+from grebedyke.testbed.fleet_layout import FleetLayout
+from grebedyke.testbed.instrumentation import LearnedValues
+from grebedyke.testbed.invariant_checker import InvariantChecker
+from grebedyke.testbed.scale_capacity import MachineMemory
+from grebedyke.testbed.scale_figures import NodeUsage, Window
+from grebedyke.testbed.scale_run import ScaleRun
+from grebedyke.testbed.scale_settings import ScaleSettings
 
 # Times decide nothing here: all agree in the end, however slow this machine is just now.
 SMALL = {"lease": 0.4, "wait": 0.1, "within": 100.0}
@@ -47,7 +52,7 @@
     async def beside():
         return await asyncio.gather(
             *(
-                scale_run.Run(**{**SMALL, "seed": seed, **shape}).play()
+                ScaleRun(ScaleSettings(**{**SMALL, "seed": seed, **shape})).play()
                 for seed, shape in enumerate(runs.values(), 1)
             )
         )
@@ -96,8 +101,7 @@
 
 def test_the_same_fleet_in_simulated_time_says_as_much():
     """By the settings: each lease four asks to three voters and three for shares."""
-    run = scale_run.Run(nodes=6, real=0, lease=2.0, seed=2)
-    told = simulated_fleet.beside(run, 20.0)
+    told = simulated_fleet.play(ScaleSettings(nodes=6, real=0, lease=2.0, seed=2), 20.0)
     rows = {row["role"]: row for row in told["roles"]}
     assert told["boards_a_second"] == 0 and {role: row["nodes"] for role, row in rows.items()} == {
         "holder": 1,
@@ -109,49 +113,55 @@
     assert rows["other"]["messages_in"]["median"] == rows["other"]["messages_out"]["median"]
     out = [rows[role]["messages_out"]["median"] for role in ("other", "voter", "holder")]
     assert out == sorted(out) and out[0] < out[1] < out[2]
-    scene = simulated_fleet.beside(scale_run.Run(nodes=6, real=0, lease=2.0, scene="peak", seed=2), 5.0)
+    scene = simulated_fleet.play(ScaleSettings(nodes=6, real=0, lease=2.0, scene="peak", seed=2), 5.0)
     assert scene["boards_a_second"] > 1 and "driver" in {row["role"] for row in scene["roles"]}
 
 
-def looking():
-    run = SimpleNamespace(count=5, executors=2, voters=[0, 1, 2])
-    return Looking(run, {"a": (LimitKind.RATE, 10.0, 5), "b": (LimitKind.CONCURRENCY, 3, 0)})
+def five_nodes_checker():
+    layout = FleetLayout(ScaleSettings(nodes=5, real=0, executors=2))
+    limits = {"a": TenantLimit(LimitKind.RATE, 10.0, 5), "b": TenantLimit(LimitKind.CONCURRENCY, 3, 0)}
+    return InvariantChecker(layout, limits, command_all=None, say=lambda text: None)
 
 
 @pytest.mark.parametrize(
-    "events, clause",
+    "admissions, clause",
     [
         # Ten a second, a burst of five and a span's worth: six at once, then one a span.
-        ({(0, 1, "a"): 6, (1, 1, "a"): 1, (2, 1, "a"): 1}, None),
-        ({(0, 1, "a"): 6, (1, 1, "a"): 2}, "over the rate"),
-        ({(0, 1, "b"): 3, (4, -1, "b"): 1, (4, 1, "b"): 1}, None),
-        ({(0, 1, "b"): 3, (3, 1, "b"): 1, (4, -1, "b"): 1}, "too many under way"),
+        ({(0, STARTED, "a"): 6, (1, STARTED, "a"): 1, (2, STARTED, "a"): 1}, None),
+        ({(0, STARTED, "a"): 6, (1, STARTED, "a"): 2}, "over the rate"),
+        ({(0, STARTED, "b"): 3, (4, ENDED, "b"): 1, (4, STARTED, "b"): 1}, None),
+        ({(0, STARTED, "b"): 3, (3, STARTED, "b"): 1, (4, ENDED, "b"): 1}, "too many under way"),
     ],
 )
-def test_what_went_through_is_held_against_the_limits(events, clause):
-    judge = looking()
-    judge.events.update(events)
-    judge.over()
-    assert [row[1] for row in judge.broken] == ([clause] if clause else []) and SPAN == 1_000
+def test_what_went_through_is_held_against_the_limits(admissions, clause):
+    checker = five_nodes_checker()
+    checker.admissions.update(admissions)
+    checker.check_limits()
+    clauses = [violation.clause for violation in checker.violations]
+    assert clauses == ([clause] if clause else []) and ADMISSION_SPAN == 1_000
 
 
 def test_two_values_under_one_ballot_are_found():
-    seen, judge, ballot = Seen(), looking(), (3, 1, 7)
-    assert seen.learned(1, "holder", ballot, {"term": 1}) == seen.learned(2, "holder", ballot, {"term": 1})
-    seen.learned(3, "holder", ballot, {"term": 2})
-    news, contradictions = seen.told()
-    assert len(news) == 1 and len(contradictions) == 1 and seen.told() == ([], [])
-    # And by two processes, each of which has heard of one.
+    """Two values under one ballot are a broken promise, and both checkers have to see it.
+
+    The nodes of one process compare what they have learnt among themselves. Where each of two processes has
+    learnt one of the values, only the run can see it.
+    """
+    learned_values = LearnedValues()
+    checker = five_nodes_checker()
+    ballot = (3, 1, 7)
+    first = learned_values.learn(1, "holder", ballot, {"term": 1})
+    assert first == learned_values.learn(2, "holder", ballot, {"term": 1})
+    learned_values.learn(3, "holder", ballot, {"term": 2})
+    news, contradictions = learned_values.take_news()
+    assert len(news) == 1 and len(contradictions) == 1 and learned_values.take_news() == ([], [])
     for value in ({"term": 1}, {"term": 1}, {"term": 2}):
-        judge.learned(4, "holder", ballot, value)
-    assert [row[1] for row in judge.broken] == ["one value"]
+        checker.value_learned(4, "holder", ballot, value)
+    assert [violation.clause for violation in checker.violations] == ["one value"]
 
 
 def test_limits_that_are_exceeded_are_told_apart_from_what_is_broken():
-    node = {
-        "node": 1,
-        "real": False,
-        "role": "holder",
+    counts = {
         "messages_out": 1.0,
         "messages_in": 1.0,
         "bytes_out": 1_600.0,
@@ -161,23 +171,31 @@
         "calls": 1.0,
         "memory": 1e6,
     }
-    over = scale_figures.over_limits({"calm": {"seconds": 5.0, "nodes": [node]}})
-    assert [(row["role"], row["what"], row["figure"]) for row in over] == [("holder", "bytes", 3_100.0)]
-    told = {"over": over, "broken": [(1.0, "one value", "x")], "void": None}
-    assert [line.split(":")[0] for line in scale_figures.verdict(told)] == ["over the limit", "broken"]
-    rows = scale_figures.compared([node, {**node, "real": True, "bytes_out": 2_000.0, "cpu_process": 2.0}])
-    differ = {row["count"]: row["why"] == "not explained" for row in rows if not row["within"]}
+    hollow = NodeUsage(node=1, seconds=5.0, is_real=False, role="holder", counts=counts)
+    over = scale_figures.excesses({"calm": Window(seconds=5.0, nodes=[hollow])})
+    assert [(excess.role, excess.what, excess.figure) for excess in over] == [("holder", "bytes", 3_100.0)]
+    result = {
+        "over": [excess._asdict() for excess in over],
+        "broken": [(1.0, "one value", "x")],
+        "void": None,
+    }
+    lines = scale_report.problem_lines(result)
+    assert [line.split(":")[0] for line in lines] == ["over the limit", "broken"]
+    real_counts = {**counts, "bytes_out": 2_000.0, "cpu_process": 2.0}
+    real = NodeUsage(node=1, seconds=5.0, is_real=True, role="holder", counts=real_counts)
+    comparisons = scale_figures.compare_kinds([hollow, real])
+    differ = {row.count: row.why == "not explained" for row in comparisons if not row.within}
     assert differ == {"bytes_out": True, "cpu_process": False}
 
 
-def one_line(*words, **given):
+def one_line(*arguments, **options):
     """Exit code and the one line of a run that is not begun."""
     done = subprocess.run(
-        [sys.executable, "-m", "grebedyke", "scale", *map(str, words)],
+        [sys.executable, "-m", "grebedyke", "scale", *map(str, arguments)],
         capture_output=True,
         text=True,
         timeout=60,
-        **given,
+        **options,
     )
     assert done.stdout == "" and done.stderr.count("\n") == 1, done.stderr
     return done.returncode, done.stderr
@@ -195,7 +213,7 @@
     assert code == 2 and f"port {port} of 127.0.0.1: address already in use" in line
     code, line = one_line("--nodes", 200, preexec_fn=few_descriptors)
     assert code == 2 and "descriptors are needed and 96 allowed" in line
-    monkeypatch.setattr(scale_run, "memory", lambda: (1 << 30, 1 << 29))
+    monkeypatch.setattr(scale_capacity, "machine_memory", lambda: MachineMemory(1 << 30, 1 << 29))
     for words, said in (
         (("--nodes", 760), "MB are needed and 512 MB are there"),
         (("--nodes", 2_000, "--each", 1), "processes are more than 300"),
