--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -16,7 +16,7 @@
 from benchmarks.capacity import cpu
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
-from grebedyke.testbed.process_cluster import RAMP, Rig
+from grebedyke.testbed.process_cluster import WARM_UP_TIME, ProcessCluster, ProcessClusterSettings
 
 ZONES = "a", "b", "c", "d"
 LOOK = 0.1
@@ -27,21 +27,21 @@
 )
 
 
-async def settled(rig):
+async def settled(cluster):
     while not all(
         told and told["sure"] and not told["plan"]
-        for told in await asyncio.gather(*(rig.status(name) for name in rig.nodes))
+        for told in await asyncio.gather(*(cluster.status(name) for name in cluster.nodes))
     ):
         await asyncio.sleep(LOOK)
 
 
-async def operators(rig, work):
+async def operators(cluster, work):
     """Gives the plan, works at whatever is told free, and gives how long all of it took."""
-    machines = [*rig.executors]
+    machines = [*cluster.executors]
     plan = {"machines": machines, "most": len(ZONES), "mostZone": 1, "leastShare": 0.5, "workMs": 60_000}
-    start, busy, done, node = time.monotonic(), {}, False, next(iter(rig.nodes))
+    start, busy, done, node = time.monotonic(), {}, False, next(iter(cluster.nodes))
     for _ in range(20):
-        status, text = await rig.call(node, "POST", "/v1/maintenance/plan", plan)
+        status, text = await cluster.call(node, "POST", "/v1/maintenance/plan", plan)
         if status not in (0, 503):  # asking again is harmless
             break
     if status != 200:
@@ -49,13 +49,13 @@
 
     async def work_at(name, number):
         await asyncio.sleep(work)
-        await rig.executors[name].restart()
-        await rig.discovery.change(name, status="Ready", since_ms=int(time.time() * 1000))
-        await rig.call(node, "POST", f"/v1/maintenance/back/{name}/{number}")
+        await cluster.executors[name].restart()
+        await cluster.discovery.change(name, status="Ready", since_ms=int(time.time() * 1000))
+        await cluster.call(node, "POST", f"/v1/maintenance/back/{name}/{number}")
 
     while not done:
         await asyncio.sleep(LOOK)
-        if not (told := await rig.status(node)):
+        if not (told := await cluster.status(node)):
             continue
         for row in told["machines"]:
             if row["state"] == "free" and (key := (row["name"], row["number"])) not in busy:
@@ -67,25 +67,33 @@
 
 async def one(seed, nodes, executors, work, rate, with_plan):
     """(share succeeded, p99 of the waits in ms, seconds that the plan took or None, CPU of a core a node)."""
-    ideal = -(-executors // len(ZONES)) * (work + RAMP)
-    rig = Rig(OPERATIONS, nodes, executors, 3 if nodes < 7 else 5, seed, zones=ZONES)
+    ideal = -(-executors // len(ZONES)) * (work + WARM_UP_TIME)
+    settings = ProcessClusterSettings(
+        operations=OPERATIONS,
+        nodes=nodes,
+        executors=executors,
+        voters=3 if nodes < 7 else 5,
+        seed=seed,
+        zones=ZONES,
+    )
+    cluster = ProcessCluster(settings)
     try:
-        await rig.start()
-        await settled(rig)
-        clients = Clients(rig.nodes, seed=seed)
+        await cluster.start()
+        await settled(cluster)
+        clients = Clients(cluster.nodes, seed=seed)
         plan = shape.arrivals(seed, "poisson", rate, ideal * 1.4, "exponential", 0.4, OPERATIONS)
-        before = [cpu(process.pid) for process in rig.processes.values()]
+        before = [cpu(process.pid) for process in cluster.processes.values()]
         load = asyncio.ensure_future(clients.play(plan))
-        took = await operators(rig, work) if with_plan else None
+        took = await operators(cluster, work) if with_plan else None
         await load
-        used = sum(cpu(p.pid) - b for p, b in zip(rig.processes.values(), before)) / nodes / (ideal * 1.4)
+        used = sum(cpu(p.pid) - b for p, b in zip(cluster.processes.values(), before)) / nodes / (ideal * 1.4)
         counts = clients.ledger.counts()
-        rig.fill(clients.ledger)
+        cluster.fill(clients.ledger)
         if broken := clients.ledger.judge():
             raise click.ClickException(f"a rule is broken: {broken[0]}")
         return counts["succeeded"] / counts["taken"], clients.percentiles()["p99"], took, used
     finally:
-        await rig.close()
+        await cluster.close()
 
 
 @click.command()
@@ -96,7 +104,7 @@
 @click.option("--rounds", default=3, show_default=True)
 @click.option("--seed", "first", default=1, show_default=True)
 def main(nodes, executors, work, rate, rounds, first):
-    ideal, rows = -(-executors // len(ZONES)) * (work + RAMP), []
+    ideal, rows = -(-executors // len(ZONES)) * (work + WARM_UP_TIME), []
     for seed in range(first, first + rounds):
         rows.append([asyncio.run(one(seed, nodes, executors, work, rate, plan)) for plan in (False, True)])
         calm, busy = rows[-1]
--- a/grebedyke/commands/fleet.py
+++ b/grebedyke/commands/fleet.py
@@ -239,7 +239,7 @@
     from grebedyke.testbed import trial
 
     played = asyncio.run(trial.play(seed, processes=processes, seconds=seconds, older=older))
-    return seed, [[str(x) for x in row] for row in played.broken], dict(played.done), played.logs
+    return seed, [[str(x) for x in row] for row in played.violations], dict(played.event_counts), played.logs
 
 
 def keep_round(folder, seed, processes, seconds, found, logs):
--- a/grebedyke/testbed/fleet_layout.py
+++ b/grebedyke/testbed/fleet_layout.py
@@ -6,7 +6,7 @@
 
 from grebedyke.load import fleet as plain
 from grebedyke.load import shape
-from grebedyke.testbed.process_cluster import GRACE, RAMP, WINDOW
+from grebedyke.testbed.process_cluster import DRAIN_GRACE, IDEMPOTENCY_WINDOW, WARM_UP_TIME
 from grebedyke.testbed.scale_settings import CLOCK_DRIFT, TEAM_COUNT, ZONES, team
 
 OPERATION = shape.Operation("task", "safe")
@@ -112,8 +112,8 @@
         settings = self.settings
         deployment = plain.settings([OPERATION], settings.nodes, node, self.zones[node], ZONES)
         deployment["parties"] = [{"name": team(index), "quotaRps": 1000} for index in range(TEAM_COUNT)]
-        deployment["rules"] |= {"drainGraceMs": GRACE * 1000, "rampTimeMs": RAMP * 1000}
-        deployment["operations"][0]["windowMs"] = WINDOW * 1000
+        deployment["rules"] |= {"drainGraceMs": DRAIN_GRACE * 1000, "rampTimeMs": WARM_UP_TIME * 1000}
+        deployment["operations"][0]["windowMs"] = IDEMPOTENCY_WINDOW * 1000
         return {
             "name": f"n{node}",
             "listen": f"{self.host}:{self.port(node)}",
--- a/grebedyke/testbed/process_cluster.py
+++ b/grebedyke/testbed/process_cluster.py
@@ -1,4 +1,4 @@
-"""Real processes that are one fleet: relays between them, doors before the rest, folders, clocks."""
+"""Real processes that are one fleet: relays between them, a proxy before discovery, folders and clocks."""
 
 import asyncio
 import json
@@ -8,244 +8,391 @@
 import sys
 import time
 from collections import Counter
+from collections.abc import Sequence
+from dataclasses import dataclass
+from enum import StrEnum
 from pathlib import Path
 
 from grebedyke.load import fleet as plain
 from grebedyke.standin import talk
-from grebedyke.testbed.network_relay import Links
-from grebedyke.testbed.tcp_proxy import Door
+from grebedyke.testbed.launcher import SETTINGS_VARIABLE
+from grebedyke.testbed.network_relay import NetworkRelay
+from grebedyke.testbed.tcp_proxy import TcpProxy
 
 LAUNCHER_MODULE = "grebedyke.testbed.launcher"
 # The launcher's name in version 0.1, see `launcher_module`.
 LAUNCHER_MODULE_OF_0_1 = "grebedyke.rig.launch"
-# Short, so that rounds are; the rules' figures are the stand-ins' own.
-LEASE, WAIT, GRACE, RAMP, WINDOW, DRIFT = 1.0, 0.1, 0.5, 1.0, 0.5, 0.02
+# Short, so that trials are; in seconds.
+LEASE = 1.0
+ROUND_TIMEOUT = 0.1
+DRAIN_GRACE = 0.5
+WARM_UP_TIME = 1.0
+IDEMPOTENCY_WINDOW = 0.5
+# By how much the rates of any two clocks may differ, as a fraction.
+CLOCK_DRIFT = 0.02
+# By how many seconds a node's wall clock may be off; one is drawn at each start.
+WALL_CLOCK_ERRORS = (0, 0, 3600, -86400)
+# Of the starts in a trial beside an older version, so many run that one.
+OLDER_VERSION_PROBABILITY = 0.5
+START_POLL_TIMEOUT = 0.5
+START_POLL_INTERVAL = 0.05
+TAKEOVER_TIMEOUT = 15
+CALL_TIMEOUT = 6.0
+STATUS_TIMEOUT = 1.0
+MILLISECONDS_PER_SECOND = 1000
 
 
-class Rig(plain.Fleet):
-    """`words`: whether nodes lend each other executors as well; `older`: the tree of another version, each
-    start draws which of the two runs; `shares`: the limits of the whole fleet, as in a configuration.
+class FolderState(StrEnum):
+    """What a node finds in its folder when it starts again.
+
+    Attributes:
+        SAME: What it left there.
+        OLDER: An older copy.
+        EMPTY: Nothing.
+        CORRUPT: A record that is none.
+    """
+
+    SAME = "same"
+    OLDER = "older"
+    EMPTY = "empty"
+    CORRUPT = "spoilt"
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ProcessClusterSettings:
+    """What a cluster of processes is.
+
+    Attributes:
+        operations: The operations that clients request.
+        nodes: How many nodes there are.
+        executors: How many executors there are.
+        voters: How many nodes vote: the first ones.
+        seed: Of the clocks, the relay's faults and the nodes' own draws.
+        peer_messages: Whether nodes grant each other slots at executors.
+        maintenance: Whether they have a maintenance component.
+        older_tree: The source tree of another version; each start draws which of the two runs.
+        zones: The zones of nodes and executors.
+        limits: The limits of the whole fleet, as rows of a configuration; None for none.
+    """
+
+    operations: Sequence
+    nodes: int = 5
+    executors: int = 6
+    voters: int = 3
+    seed: int = 0
+    peer_messages: bool = False
+    maintenance: bool = True
+    older_tree: str | None = None
+    zones: Sequence[str] = plain.ZONES
+    limits: Sequence[dict] | None = None
+
+
+class ProcessCluster(plain.Fleet):
+    """A fleet whose nodes know each other by the sockets of a relay.
+
+    Attributes:
+        settings: The `ProcessClusterSettings`.
+        limits: The limits of the whole fleet that a node finds in its file from now on, as rows.
+        voters: Numbers of the nodes that vote.
+        relay: The `NetworkRelay` between the nodes; None before `start`.
+        proxies: The `TcpProxy` between each node and discovery, by the node's name.
+        event_counts: How often each thing was done to the nodes.
+        admin_addresses: The (host, port) of each node's operators.
+        peer_addresses: The (host, port) of each node's own datagrams.
+        clock_rates: Of each node's monotonic clock.
+        paused: Names of the nodes whose processes are stopped by a signal.
+        start_counts: How often each node was started.
     """
 
-    def __init__(
-        self,
-        operations,
-        nodes=5,
-        executors=6,
-        voters=3,
-        seed=0,
-        words=False,
-        maintenance=True,
-        older=None,
-        zones=plain.ZONES,
-        shares=None,
-    ):
-        super().__init__(operations, nodes, executors, seed=seed, zones=zones)
-        self.older, self.shares = older, shares
-        self.voters, self.words, self.maintenance = list(range(min(voters, nodes))), words, maintenance
-        # A node that starts anew needs its own address back: nothing of another round is on this one.
-        self.host = f"127.{64 + os.getpid() % 128}.{seed % 250}.9"
-        self.links, self.doors, self.done = None, {}, Counter()
-        self.consoles, self.own, self.rates, self.stopped, self.lives = {}, {}, {}, set(), Counter()
+    def __init__(self, settings):
+        super().__init__(
+            settings.operations,
+            settings.nodes,
+            settings.executors,
+            seed=settings.seed,
+            zones=settings.zones,
+        )
+        self.settings = settings
+        self.limits = settings.limits
+        self.voters = list(range(min(settings.voters, settings.nodes)))
+        # A node that starts anew needs its own address back: nothing of another trial is on this one.
+        self.host = f"127.{64 + os.getpid() % 128}.{settings.seed % 250}.9"
+        self.relay = None
+        self.proxies = {}
+        self.event_counts = Counter()
+        self.admin_addresses = {}
+        self.peer_addresses = {}
+        self.clock_rates = {}
+        self.paused = set()
+        self.start_counts = Counter()
         # One clock for each machine: two processes of a node read the same one.
-        self.began, self.leaving = time.monotonic_ns(), []
+        self._clock_epoch = time.monotonic_ns()
+        self._ending_processes = []
 
     async def start(self):
-        self.links = await Links(len(self.nodes), self.seed).open()
+        """Starts discovery, executors, relay and nodes; returns itself."""
+        self.relay = await NetworkRelay(len(self.nodes), self.seed).open()
         for name in self.nodes:
-            # Over any two the rates differ by the stated drift at most.
-            self.rates[name] = 1 + (self.links.random.random() - 0.5) * DRIFT
-            self.doors[name] = await Door(lambda: self.discovery.address).listen()
+            # Over any two clocks the rates differ by the stated drift at most.
+            self.clock_rates[name] = 1 + (self.relay.random.random() - 0.5) * CLOCK_DRIFT
+            self.proxies[name] = await TcpProxy(lambda: self.discovery.address).listen()
         return await super().start()
 
     def number(self, name):
+        """Returns the number of a node."""
         return [*self.nodes].index(name)
 
-    def path(self, name, what):
-        return Path(self.folder.name, f"{name}.{what}")
-
-    def told(self, name):
-        """What is in a node's file; its ports are drawn when it first starts."""
-        i = self.number(name)
-        self.consoles[name] = self.consoles.get(name) or (self.host, plain.free_port(self.host))
-        self.own[name] = self.own.get(name) or (self.host, plain.free_port(self.host))
-        zone = self.zones[i % len(self.zones)]
-        settings = plain.settings(self.operations, len(self.nodes), i, zone, self.zones)
-        settings["limits"]["peerMessages"] = self.words
-        settings["rules"] |= {"drainGraceMs": GRACE * 1000, "rampTimeMs": RAMP * 1000}
-        for row in settings["operations"]:
-            row["windowMs"] = WINDOW * 1000
-        told = {
+    def path(self, name, suffix):
+        """Returns the path of a node's file or folder."""
+        return Path(self.folder.name, f"{name}.{suffix}")
+
+    # What a node is told.
+
+    def node_configuration(self, name):
+        """Returns what is in a node's file; its ports are drawn when it first starts."""
+        number = self.number(name)
+        for addresses in (self.admin_addresses, self.peer_addresses):
+            if not addresses.get(name):
+                addresses[name] = (self.host, plain.free_port(self.host))
+        peers = self.relay.peer_addresses(number, self.peer_addresses[name])
+        node_configuration = {
             "name": name,
             "listen": "%s:%d" % self.nodes[name],
-            "console": "%s:%d" % self.consoles[name],
-            "discovery": "%s:%d" % self.doors[name].address,
+            "console": "%s:%d" % self.admin_addresses[name],
+            "discovery": "%s:%d" % self.proxies[name].address,
             "seed": f"{self.seed}-{name}",
             "known": self.discovery.listing(),
-            "settings": settings,
-            "peers": ["%s:%d" % tuple(a) for a in self.links.peers(i, self.own[name])],
+            "settings": self._deployment(number),
+            "peers": ["%s:%d" % tuple(address) for address in peers],
         }
-        if self.maintenance:
-            told["fleet"] = {
+        terms = {"leaseMs": LEASE * MILLISECONDS_PER_SECOND, "drift": CLOCK_DRIFT}
+        if self.settings.maintenance:
+            node_configuration["fleet"] = {
                 "name": f"rig {self.seed}",
                 "folder": str(self.path(name, "folder")),
                 "voters": self.voters,
-                "waitMs": WAIT * 1000,
+                "waitMs": ROUND_TIMEOUT * MILLISECONDS_PER_SECOND,
             }
-            told["maintenance"] = {"leaseMs": LEASE * 1000, "drift": DRIFT}
-        if self.shares:
-            told["shares"] = {"leaseMs": LEASE * 1000, "drift": DRIFT, "limits": self.shares}
-        return told
+            node_configuration["maintenance"] = terms
+        if self.limits:
+            node_configuration["shares"] = {**terms, "limits": self.limits}
+        return node_configuration
 
-    async def launch(self, name):
-        path, log = self.path(name, "json"), open(self.path(name, "log"), "ab")
-        path.write_text(json.dumps(self.told(name)))
-        environ = {k: v for k, v in os.environ.items() if not k.startswith(("BALANCER_", "GREBEDYKE_"))}
-        self.path(name, "tmp").mkdir(exist_ok=True)
-        environ |= {
-            "BALANCER_CONFIG": str(path),
+    def _deployment(self, number):
+        """Returns the deployment's settings, as a node's file has them."""
+        zone = self.zones[number % len(self.zones)]
+        deployment = plain.settings(self.operations, len(self.nodes), number, zone, self.zones)
+        deployment["limits"]["peerMessages"] = self.settings.peer_messages
+        deployment["rules"] |= {
+            "drainGraceMs": DRAIN_GRACE * MILLISECONDS_PER_SECOND,
+            "rampTimeMs": WARM_UP_TIME * MILLISECONDS_PER_SECOND,
+        }
+        for row in deployment["operations"]:
+            row["windowMs"] = IDEMPOTENCY_WINDOW * MILLISECONDS_PER_SECOND
+        return deployment
+
+    def _environment(self, name):
+        own_variables = ("BALANCER_", "GREBEDYKE_")
+        environment = {key: value for key, value in os.environ.items() if not key.startswith(own_variables)}
+        launcher_settings = {
+            "rate": self.clock_rates[name],
+            "began": self._clock_epoch,
+            "disk": str(self.path(name, "disk")),
+            "wall": self.relay.random.choice(WALL_CLOCK_ERRORS),
+        }
+        return environment | {
+            "BALANCER_CONFIG": str(self.path(name, "json")),
             "BALANCER_COUNTS": "1",
             "TMPDIR": str(self.path(name, "tmp")),
-            "GREBEDYKE_RIG": json.dumps(
-                {
-                    "rate": self.rates[name],
-                    "began": self.began,
-                    "disk": str(self.path(name, "disk")),
-                    "wall": self.links.random.choice((0, 0, 3600, -86400)),
-                }
-            ),
+            SETTINGS_VARIABLE: json.dumps(launcher_settings),
         }
-        tree = self.older if self.older and self.links.random.random() < 0.5 else None
-        self.done["older version"] += tree is not None
-        with log:
-            process = await asyncio.create_subprocess_exec(
+
+    # Processes.
+
+    async def launch(self, name):
+        """Starts a process of a node and waits until it serves.
+
+        Raises:
+            OSError: It does not; the message has the last line of its log.
+        """
+        self.path(name, "json").write_text(json.dumps(self.node_configuration(name)))
+        self.path(name, "tmp").mkdir(exist_ok=True)
+        environment = self._environment(name)
+        process = await self._start_process(name, environment)
+        self.processes[name] = process
+        self.start_counts[name] += 1
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + plain.STARTS
+        while not await self._is_serving(name):
+            if process.returncode is not None or loop.time() > deadline:
+                self._forget_first_ports(name)
+                raise OSError(f"node {name} did not start: {self.last_log_line(name)}")
+            await asyncio.sleep(START_POLL_INTERVAL)
+
+    async def _start_process(self, name, environment):
+        older_tree = self.settings.older_tree
+        is_older = bool(older_tree) and self.relay.random.random() < OLDER_VERSION_PROBABILITY
+        tree = older_tree if is_older else None
+        self.event_counts["older version"] += is_older
+        with open(self.path(name, "log"), "ab") as log:
+            return await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 launcher_module(tree),
-                env=environ,
+                env=environment,
                 stderr=log,
                 stdin=asyncio.subprocess.DEVNULL,
                 cwd=tree,
             )
-        self.processes[name], self.lives[name] = process, self.lives[name] + 1
-        end = asyncio.get_running_loop().time() + plain.STARTS
-        while (await talk.call(self.nodes[name], "GET /up HTTP/1.1", wait=0.5))[0] != 200:
-            if process.returncode is not None or asyncio.get_running_loop().time() > end:
-                if self.lives[name] == 1:
-                    # A relay, or another's connection, has been given the port since it was drawn.
-                    self.own[name] = self.consoles[name] = None
-                    self.lives[name] = 0
-                raise OSError(f"node {name} did not start: {self.last_words(name)}")
-            await asyncio.sleep(0.05)
-
-    def last_words(self, name):
+
+    async def _is_serving(self, name):
+        status, _ = await talk.call(self.nodes[name], "GET /up HTTP/1.1", wait=START_POLL_TIMEOUT)
+        return status == 200
+
+    def _forget_first_ports(self, name):
+        """Has the ports of a node that has never served drawn anew.
+
+        Between their drawing and their use a relay, or another's connection, may have been given one of them;
+        the node then ends with 'address in use', and would do so at each further start.
+        """
+        if self.start_counts[name] == 1:
+            self.peer_addresses[name] = None
+            self.admin_addresses[name] = None
+            self.start_counts[name] = 0
+
+    def last_log_line(self, name):
+        """Returns the newest line of a node's log."""
         lines = self.path(name, "log").read_text(errors="replace").strip().splitlines()
         return lines[-1] if lines else "it said nothing"
 
-    # Processes.
-
-    def up(self, name):
+    def is_up(self, name):
+        """Returns whether a node's process runs and is not paused."""
         process = self.processes.get(name)
-        return process is not None and process.returncode is None and name not in self.stopped
+        return process is not None and process.returncode is None and name not in self.paused
 
-    async def end(self, name, how=signal.SIGKILL):
+    async def end(self, name, signal_number=signal.SIGKILL):
+        """Ends a node's process by a signal."""
         process = self.processes[name]
         if process.returncode is None:
-            if name in self.stopped:
-                self.go_on(name)
-            process.send_signal(how)
+            self.resume(name)
+            process.send_signal(signal_number)
             await process.wait()
 
-    def stop(self, name):
-        if self.up(name):
+    def pause(self, name):
+        """Stops a node's process by a signal, until `resume`."""
+        if self.is_up(name):
             self.processes[name].send_signal(signal.SIGSTOP)
-            self.stopped.add(name)
-            self.done["stopped"] += 1
+            self.paused.add(name)
+            self.event_counts["stopped"] += 1
 
-    def go_on(self, name):
-        if name in self.stopped:
-            self.stopped.discard(name)
+    def resume(self, name):
+        """Lets a paused process go on."""
+        if name in self.paused:
+            self.paused.discard(name)
             self.processes[name].send_signal(signal.SIGCONT)
 
-    async def again(self, name, folder="same"):
-        """Killed, and started under the same name with its folder, an older copy of it, or an empty one."""
+    async def restart(self, name, folder=FolderState.SAME):
+        """Kills a node's process, and starts another with its folder as the `FolderState` says."""
         await self.end(name)
-        here, older = self.path(name, "folder"), self.path(name, "older")
-        if folder != "same":
-            shutil.rmtree(here, ignore_errors=True)
-        if folder == "older" and older.exists():
-            shutil.copytree(older, here)
-        if folder == "spoilt":
-            shutil.rmtree(here, ignore_errors=True)
-            here.mkdir()
-            (here / "votes").write_bytes(b"grebedyke 1\n what is this")
-        self.done[f"folder {folder}"] += 1
+        current = self.path(name, "folder")
+        older = self.path(name, "older")
+        if folder != FolderState.SAME:
+            shutil.rmtree(current, ignore_errors=True)
+        if folder == FolderState.OLDER and older.exists():
+            shutil.copytree(older, current)
+        if folder == FolderState.CORRUPT:
+            current.mkdir()
+            (current / "votes").write_bytes(b"grebedyke 1\n what is this")
+        self.event_counts[f"folder {folder}"] += 1
         await self.launch(name)
 
-    async def replace(self, name):
-        """A new process takes over from the one that serves, which is told to end."""
-        old, self.consoles[name] = self.processes[name], None
-        self.leaving.append(old)
+    async def take_over(self, name):
+        """Starts a process that takes over from the one that serves, which is told to end."""
+        former = self.processes[name]
+        self.admin_addresses[name] = None
+        self._ending_processes.append(former)
         await self.launch(name)
-        old.terminate()
-        await asyncio.wait_for(old.wait(), 15)
-        self.leaving.remove(old)
-        self.done["taken over"] += 1
-
-    def reload(self, name, change):
-        """The file as `change(told)` leaves it, None: no JSON at all; then SIGHUP."""
-        told = self.told(name)
-        self.path(name, "json").write_text("{" if change is None else json.dumps(change(told) or told))
+        former.terminate()
+        await asyncio.wait_for(former.wait(), TAKEOVER_TIMEOUT)
+        self._ending_processes.remove(former)
+        self.event_counts["taken over"] += 1
+
+    def reload(self, name, change=None):
+        """Has a node read its file again.
+
+        Args:
+            name: The node.
+            change: Called with what the file is to say, to change it; None leaves it.
+        """
+        node_configuration = self.node_configuration(name)
+        if change:
+            change(node_configuration)
+        self._reload(name, json.dumps(node_configuration), "reloaded")
+
+    def reload_faulty_file(self, name):
+        """Has a node read a file that is no JSON at all."""
+        self._reload(name, "{", "reload of a faulty file")
+
+    def _reload(self, name, content, event):
+        self.path(name, "json").write_text(content)
         self.processes[name].send_signal(signal.SIGHUP)
-        self.done["reloaded" if change else "reload of a faulty file"] += 1
+        self.event_counts[event] += 1
+
+    # Folders and disks.
 
-    def copy(self, name):
-        here, older = self.path(name, "folder"), self.path(name, "older")
+    def copy_folder(self, name):
+        """Keeps a copy of a node's folder, for a later `restart`."""
+        current = self.path(name, "folder")
+        older = self.path(name, "older")
         shutil.rmtree(older, ignore_errors=True)
-        if here.exists():
-            # Its node goes on writing: only whole files, not the one that is about to replace one.
-            shutil.copytree(here, older, ignore=shutil.ignore_patterns("*.new"))
-            self.done["copied"] += 1
+        if current.exists():
+            # Its node goes on writing: whole files only, not the one that is about to replace another.
+            shutil.copytree(current, older, ignore=shutil.ignore_patterns("*.new"))
+            self.event_counts["copied"] += 1
 
-    def disk(self, name, *faults):
+    def set_disk_faults(self, name, *faults):
+        """Changes what is wrong with a node's disk: `DiskFault`s, or nothing."""
         self.path(name, "disk").write_text("\n".join(faults))
-        self.done["disk " + " ".join(faults or ("honest",))] += 1
+        self.event_counts["disk " + " ".join(faults or ("honest",))] += 1
 
     # Operators.
 
-    async def call(self, name, method, path, body=None, wait=6.0):
-        """(status, text), (0, '') where nobody answered."""
+    async def call(self, name, method, path, body=None, timeout=CALL_TIMEOUT):
+        """Makes an operator's call; returns (status, text), (0, "") where nobody answered in time."""
         data = json.dumps(body).encode() if body is not None else b""
-        status, told = await talk.call(self.consoles[name], f"{method} {path} HTTP/1.1", data, wait)
-        return status, told.decode(errors="replace").strip()
+        address = self.admin_addresses[name]
+        status, answer = await talk.call(address, f"{method} {path} HTTP/1.1", data, timeout)
+        return status, answer.decode(errors="replace").strip()
 
     async def status(self, name):
-        """What a node says of the plan, None where it does not answer."""
-        status, told = await self.call(name, "GET", "/v1/maintenance", wait=1.0)
-        return json.loads(told) if status == 200 else None
+        """Returns what a node says of maintenance, None where it does not answer."""
+        status, text = await self.call(name, "GET", "/v1/maintenance", timeout=STATUS_TIMEOUT)
+        return json.loads(text) if status == 200 else None
 
     def events(self):
-        """(node, life, event) of all logs, in the order of each log."""
+        """Yields (node, event) of all logs, in the order of each log."""
         for name in self.nodes:
-            if self.path(name, "log").exists():
-                for line in self.path(name, "log").read_text(errors="replace").splitlines():
+            path = self.path(name, "log")
+            if path.exists():
+                for line in path.read_text(errors="replace").splitlines():
                     try:
                         yield name, json.loads(line)
                     except json.JSONDecodeError:
-                        pass  # a process was killed in the middle of it
+                        pass  # the process was killed amid the line
 
     async def close(self):
-        for name in list(self.stopped):
-            self.go_on(name)
-        for process in self.leaving:
+        """Ends everything."""
+        for name in list(self.paused):
+            self.resume(name)
+        for process in self._ending_processes:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
         await super().close()
-        for door in self.doors.values():
-            await door.close()
-        if self.links:
-            self.links.close()
+        for proxy in self.proxies.values():
+            await proxy.close()
+        if self.relay:
+            self.relay.close()
 
 
 def launcher_module(tree):
--- a/grebedyke/testbed/tcp_proxy.py
+++ b/grebedyke/testbed/tcp_proxy.py
@@ -1,63 +1,90 @@
-"""What lies before a TCP address: a relay that may fall silent, be slow, reset or let nobody in."""
+"""A proxy before a TCP address that may fall silent, be slow, or reset its connections."""
 
 import asyncio
 from collections import Counter
+from enum import StrEnum
 
 from grebedyke.standin import talk
 
-KINDS = {
-    "silent": "takes connections and says nothing",
-    "reset": "resets each connection",
-    "slow": "lets bytes by late",
-}
-PIECE = 65_536
+# Bytes that are read at once.
+READ_SIZE = 65_536
+# How often a silent proxy looks whether it may go on, and how late a slow one is, in seconds.
+SILENT_POLL_INTERVAL = 0.05
+SLOW_DELAY = 0.3
 
 
-class Door(talk.Server):
-    """Carries bytes to `to()`; `bad`: None or one of KINDS. Open connections feel a change at once."""
+class ProxyFault(StrEnum):
+    """What may be wrong with a proxy.
 
-    def __init__(self, to, wait=0.3):
+    Attributes:
+        SILENT: It accepts connections and passes nothing on.
+        RESET: It resets each connection.
+        SLOW: It passes bytes on late.
+    """
+
+    SILENT = "silent"
+    RESET = "reset"
+    SLOW = "slow"
+
+
+class TcpProxy(talk.Server):
+    """Passes bytes on to an address and back. Open connections feel a change at once.
+
+    Attributes:
+        target: Returns the (host, port) to which connections go.
+        fault: The `ProxyFault`, None for none.
+        event_counts: How often each fault has shown.
+    """
+
+    def __init__(self, target):
         super().__init__()
-        self.to, self.wait, self.bad, self.done = to, wait, None, Counter()
-        self.writers = set()
+        self.target = target
+        self.fault = None
+        self.event_counts = Counter()
+        self._open_writers = set()
 
-    def turn(self, bad):
-        self.bad = bad
-        if bad == "reset":
-            for writer in list(self.writers):
-                self.done["reset"] += 1
+    def set_fault(self, fault):
+        """Changes what is wrong: a `ProxyFault`, or None."""
+        self.fault = fault
+        if fault is ProxyFault.RESET:
+            for writer in list(self._open_writers):
+                self.event_counts[fault] += 1
                 writer.transport.abort()
 
     async def serve(self, reader, writer):
-        if self.bad == "reset":
-            self.done["reset"] += 1
-            return writer.transport.abort()
+        """Serves one connection."""
+        if self.fault is ProxyFault.RESET:
+            self.event_counts[ProxyFault.RESET] += 1
+            writer.transport.abort()
+            return
         try:
-            there, back = await asyncio.open_connection(*self.to())
+            target_reader, target_writer = await asyncio.open_connection(*self.target())
         except OSError:
-            return writer.transport.abort()  # as if it were the place itself
-        self.writers |= {writer, back}
-        ways = [
-            asyncio.ensure_future(self.pump(reader, back)),
-            asyncio.ensure_future(self.pump(there, writer)),
+            # The connection ends as if there were no proxy.
+            writer.transport.abort()
+            return
+        self._open_writers |= {writer, target_writer}
+        directions = [
+            asyncio.ensure_future(self._pass_on(reader, target_writer)),
+            asyncio.ensure_future(self._pass_on(target_reader, writer)),
         ]
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            self.writers -= {writer, back}
-            for way in ways:
-                way.cancel()
-            back.close()
+            self._open_writers -= {writer, target_writer}
+            for direction in directions:
+                direction.cancel()
+            target_writer.close()
 
-    async def pump(self, reader, writer):
+    async def _pass_on(self, reader, writer):
         try:
-            while data := await reader.read(PIECE):
-                while self.bad == "silent":
-                    self.done["silent"] += 1
-                    await asyncio.sleep(0.05)
-                if self.bad == "slow":
-                    self.done["slow"] += 1
-                    await asyncio.sleep(self.wait)
+            while data := await reader.read(READ_SIZE):
+                while self.fault is ProxyFault.SILENT:
+                    self.event_counts[ProxyFault.SILENT] += 1
+                    await asyncio.sleep(SILENT_POLL_INTERVAL)
+                if self.fault is ProxyFault.SLOW:
+                    self.event_counts[ProxyFault.SLOW] += 1
+                    await asyncio.sleep(SLOW_DELAY)
                 writer.write(data)
                 await writer.drain()
         except OSError:
--- a/grebedyke/testbed/trial.py
+++ b/grebedyke/testbed/trial.py
@@ -1,415 +1,389 @@
-"""One round with real processes: a plan, work going on, faults drawn by a seed, and what is judged of it."""
+"""One trial with real processes: a plan, clients' load, faults drawn by a seed, and what is checked of it."""
 
 import asyncio
 import random
 import signal
 import time
 from collections import Counter, defaultdict
+from collections.abc import Sequence
+from dataclasses import dataclass
 from typing import NamedTuple
 
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
-from grebedyke.testbed.process_cluster import GRACE, RAMP, Rig
-from grebedyke.testbed.trial_checker import Judge
+from grebedyke.testbed.process_cluster import (
+    DRAIN_GRACE,
+    WARM_UP_TIME,
+    ProcessCluster,
+    ProcessClusterSettings,
+)
+from grebedyke.testbed.trial_checker import TrialChecker
+from grebedyke.testbed.trial_faults import FAULTS
+from grebedyke.testbed.violations import Violation
 
 OPERATIONS = (
     shape.Operation("hold", "keyed", share=0.4),
     shape.Operation("confirm", "unsafe", share=0.3),
     shape.Operation("view", "safe", share=0.3),
 )
-# From the end of the last fault: by then the plan has ended, at any machine's pace.
-CALM = 60.0
-# From a node's yes to an invocation until an executor has it: while it waits for a free one, at most.
-LATE = 0.5
-RATE = 30.0
-
-
-class Played(NamedTuple):
-    """`broken`: (when, clause, words); `done`: how often each fault and each piece of work came about."""
+# Seconds from the end of the last fault: by then the plan has ended, at any machine's pace.
+SETTLING_TIMEOUT = 60.0
+# Seconds from a node's admission of a request until an executor has it, at most: it waits for a free one.
+LONGEST_QUEUE_TIME = 0.5
+# Requests a second, how long each runs on average, and how long they go on after the faults, in seconds.
+REQUEST_RATE = 30.0
+MEAN_WORK = 0.05
+LOAD_AFTER_FAULTS = 4
+# The mean time between two faults at a pace of 1, in seconds.
+MEAN_FAULT_INTERVAL = 1.5
+MACHINES_OUT = 2
+POLL_INTERVAL = 0.1
+SHORT_POLL_INTERVAL = 0.05
+HEALING_POLLS = 400
+SCRIPT_TRIES = 3
+SCRIPT_TIMEOUT = 1.0
+
+
+class TrialResult(NamedTuple):
+    """What a trial came to.
+
+    Attributes:
+        seed: Its seed.
+        violations: A `Violation` for each broken promise.
+        event_counts: How often each fault and each piece of work came about.
+        seconds: How long it took.
+        logs: The nodes' logs by name where a promise was broken.
+    """
 
     seed: int
-    broken: list
-    done: Counter
-    took: float
-    logs: dict
-
-
-class Round:
-    """`script`: machines go out as before there were plans, by `suspend` at every node, for comparison."""
-
-    def __init__(
-        self, seed, processes=5, executors=6, seconds=10.0, kinds=None, pace=1.0, script=False, older=None
-    ):
-        self.seed, self.random = seed, random.Random(f"round {seed}")
-        voters = 3 if processes < 7 else 5
-        # Some rounds go on under limits of the whole fleet, of which more is asked for than they let through.
-        self.shares = (
-            [
-                {
-                    "name": "all",
-                    "rate": RATE * 2 / 3,
-                    "burst": max(20, processes),
-                    "floor": RATE / 3 / processes,
-                },
-                {"name": "confirms", "underWay": 3, "operation": "confirm"},
-            ]
-            if seed % 4 == 1
-            else None
-        )
-        self.rig = Rig(
-            OPERATIONS, processes, executors, voters, seed, seed % 3 == 0, older=older, shares=self.shares
+    violations: list[Violation]
+    event_counts: Counter
+    seconds: float
+    logs: dict[str, str]
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class TrialSettings:
+    """What a trial is, beside its seed.
+
+    Attributes:
+        processes: How many nodes there are.
+        executors: How many executors there are.
+        seconds: How long faults are injected.
+        kinds: The kinds of faults that are drawn, keys of `trial_faults.FAULTS`; None for all of them.
+        pace: How often: on average once in 1.5 s divided by this figure; from 1 on each kind at least once.
+        script: Whether operators take machines out by a script, as before there were plans, for comparison.
+        older: The source tree of another version; each start of a node draws which of the two runs.
+    """
+
+    processes: int = 5
+    executors: int = 6
+    seconds: float = 10.0
+    kinds: Sequence[str] | None = None
+    pace: float = 1.0
+    script: bool = False
+    older: str | None = None
+
+
+class Trial:
+    """One trial.
+
+    Attributes:
+        seed: Its seed.
+        settings: The `TrialSettings`.
+        random: Draws the faults.
+        cluster: The `ProcessCluster`.
+        checker: The `TrialChecker`.
+        busy_nodes: Names of the nodes that a fault or an operator has in hand.
+        forgetful_nodes: Names of the nodes that have lost their memory and have not rejoined.
+    """
+
+    def __init__(self, seed, **settings):
+        """Draws a trial.
+
+        Args:
+            seed: Its seed.
+            **settings: Fields of a `TrialSettings`.
+        """
+        self.seed = seed
+        self.settings = TrialSettings(**settings)
+        self.random = random.Random(f"round {seed}")
+        self.checker = TrialChecker()
+        self.cluster = ProcessCluster(self._cluster_settings())
+        self.busy_nodes = set()
+        self.forgetful_nodes = set()
+        self._fault_kinds = list(self.settings.kinds or FAULTS)
+        self._handled_work = set()
+        self._tasks = []
+
+    def _cluster_settings(self):
+        processes = self.settings.processes
+        return ProcessClusterSettings(
+            operations=OPERATIONS,
+            nodes=processes,
+            executors=self.settings.executors,
+            voters=3 if processes < 7 else 5,
+            seed=self.seed,
+            peer_messages=self.seed % 3 == 0,
+            older_tree=self.settings.older,
+            limits=trial_limits(processes) if self.seed % 4 == 1 else None,
         )
-        self.seconds, self.kinds, self.pace = seconds, list(kinds or FAULTS), pace
-        self.script = script
-        self.judge, self.tasks, self.in_work = Judge(), [], {}
-        # Those that are not what they were: a majority of the voters must remember.
-        self.forgetful, self.busy = set(), set()
 
     async def play(self):
+        """Plays the trial to its end; returns its `TrialResult`."""
         start = time.monotonic()
-        rig, judge = self.rig, self.judge
+        logs = {}
         try:
-            await rig.start()
-            await self.until(lambda all_: all(s and s["sure"] for s in all_), "sure at the start")
-            clients = Clients(rig.nodes, seed=self.seed)
-            plan = shape.arrivals(
-                self.seed, "poisson", RATE, self.seconds + 4, "exponential", 0.05, OPERATIONS
-            )
-            load = asyncio.ensure_future(clients.play(plan))
-            self.tasks += [asyncio.ensure_future(self.work()), asyncio.ensure_future(self.trouble())]
-            await (self.by_script() if self.script else self.by_plan())
-            await self.tasks[1]
-            await self.heal()
-            await load
-            await self.until(lambda all_: all(s and s["sure"] and not s["plan"] for s in all_), "plans end")
-            rig.fill(clients.ledger)
-            judge.rules(clients.ledger, rig.nodes, bool(self.shares))
-            judge.limits(clients.ledger, self.shares or (), LATE)
-            judge.logs(rig.events(), 2, {f"node:{v}" for v in rig.voters})
-        except Exception as problem:  # a rig that fails is no round that was passed
-            judge.fault("the rig", repr(problem))
+            await self._play()
+        except Exception as problem:  # the next trial goes on; one that has failed itself has not passed
+            self.checker.report("the rig", repr(problem))
         finally:
-            for task in self.tasks:
+            for task in self._tasks:
                 task.cancel()
-            await asyncio.gather(*self.tasks, return_exceptions=True)
-            logs = {}
-            if judge.broken:
-                logs = {
-                    name: rig.path(name, "log").read_text(errors="replace")
-                    for name in rig.nodes
-                    if rig.path(name, "log").exists()
-                }
-            await rig.close()
-        done = rig.done + (rig.links.done if rig.links else Counter()) + judge.done
-        for door in rig.doors.values():
-            done += door.done
-        return Played(self.seed, judge.broken, done, time.monotonic() - start, logs)
-
-    async def by_plan(self):
-        machines = [*self.rig.executors]
+            await asyncio.gather(*self._tasks, return_exceptions=True)
+            if self.checker.violations:
+                logs = self._read_logs()
+            await self.cluster.close()
+        seconds = time.monotonic() - start
+        return TrialResult(self.seed, self.checker.violations, self._event_counts(), seconds, logs)
+
+    async def _play(self):
+        cluster = self.cluster
+        await cluster.start()
+        await self._until(all_are_sure, "sure at the start")
+        clients = Clients(cluster.nodes, seed=self.seed)
+        load_seconds = self.settings.seconds + LOAD_AFTER_FAULTS
+        arrivals = shape.arrivals(
+            self.seed, "poisson", REQUEST_RATE, load_seconds, "exponential", MEAN_WORK, OPERATIONS
+        )
+        load = asyncio.ensure_future(clients.play(arrivals))
+        faults = asyncio.ensure_future(self._inject_faults())
+        self._tasks += [asyncio.ensure_future(self._operate()), faults]
+        if self.settings.script:
+            await self._take_out_by_script()
+        else:
+            await self._take_out_by_plan()
+        await faults
+        await self._end_faults()
+        await load
+        await self._until(all_have_no_plan, "plans end")
+        cluster.fill(clients.ledger)
+        self._check(clients.ledger)
+
+    def _check(self, ledger):
+        limits = self.cluster.limits or ()
+        self.checker.check_rules(ledger, is_limited=bool(limits))
+        self.checker.check_limits(ledger, limits, LONGEST_QUEUE_TIME)
+        voters = {f"node:{voter}" for voter in self.cluster.voters}
+        self.checker.check_logs(self.cluster.events(), MACHINES_OUT, voters)
+
+    def _read_logs(self):
+        paths = {name: self.cluster.path(name, "log") for name in self.cluster.nodes}
+        return {name: path.read_text(errors="replace") for name, path in paths.items() if path.exists()}
+
+    def _event_counts(self):
+        relay = self.cluster.relay
+        counts = self.cluster.event_counts + (relay.event_counts if relay else Counter())
+        counts += self.checker.event_counts
+        for proxy in self.cluster.proxies.values():
+            counts += proxy.event_counts
+        return counts
+
+    # Operators.
+
+    async def _take_out_by_plan(self):
+        machines = [*self.cluster.executors]
         if self.seed % 2 == 0:
             # Nodes as machines: one that votes, one that does not.
-            machines += ["node:0", f"node:{len(self.rig.nodes) - 1}"]
-        given = {"machines": machines, "most": 2, "mostZone": 1, "leastShare": 0.3, "workMs": 30_000}
-        self.judge.promised(await self.ask("/v1/maintenance/plan", {**given, "late": "go on"}))
-        # A second operator, at another node, in the middle of it.
-        other = {"machines": machines[:2], "most": 1, "workMs": 30_000, "id": "other"}
-        self.judge.refused(await self.ask("/v1/maintenance/plan", other, (200, 409)))
-
-    async def by_script(self):
-        """One of each zone at a time; a node that does not answer is asked twice more, then left."""
-        rig, names = self.rig, [*self.rig.executors]
-
-        async def all_nodes(name, word):
-            for node in rig.nodes:
-                for _ in range(3):
-                    if (await rig.call(node, "POST", f"/v1/executors/{name}/{word}", wait=1.0))[0] == 200:
-                        break
-
-        async def go(some):
-            for name in some:
-                await all_nodes(name, "suspend")
-                await asyncio.sleep(GRACE)
-                await self.open_up("a script", name, 0)
-                await all_nodes(name, "resume")
-                await asyncio.sleep(RAMP)
-
-        await asyncio.gather(go(names[::2]), go(names[1::2]))
-
-    async def all_status(self):
-        return await asyncio.gather(*(self.rig.status(name) for name in self.rig.nodes))
-
-    async def until(self, enough, clause):
-        end = time.monotonic() + CALM
-        while not enough(told := await self.all_status()):
+            machines += ["node:0", f"node:{len(self.cluster.nodes) - 1}"]
+        plan = {
+            "machines": machines,
+            "most": MACHINES_OUT,
+            "mostZone": 1,
+            "leastShare": 0.3,
+            "workMs": 30_000,
+            "late": "go on",
+        }
+        self.checker.plan_answered(await self._ask("/v1/maintenance/plan", plan))
+        # A second operator, at another node, amid the first one's plan.
+        other_plan = {"machines": machines[:2], "most": 1, "workMs": 30_000, "id": "other"}
+        answer = await self._ask("/v1/maintenance/plan", other_plan, (200, 409))
+        self.checker.second_plan_answered(answer)
+
+    async def _take_out_by_script(self):
+        """Takes out one executor of each zone at a time."""
+        names = [*self.cluster.executors]
+        await asyncio.gather(self._take_out(names[::2]), self._take_out(names[1::2]))
+
+    async def _take_out(self, names):
+        for name in names:
+            await self._call_all_nodes(name, "suspend")
+            await asyncio.sleep(DRAIN_GRACE)
+            await self._work_at_executor("a script", name, 0)
+            await self._call_all_nodes(name, "resume")
+            await asyncio.sleep(WARM_UP_TIME)
+
+    async def _call_all_nodes(self, name, command):
+        """Calls each node; one that does not answer is asked twice more, then left."""
+        for node in self.cluster.nodes:
+            for _ in range(SCRIPT_TRIES):
+                path = f"/v1/executors/{name}/{command}"
+                status, _ = await self.cluster.call(node, "POST", path, timeout=SCRIPT_TIMEOUT)
+                if status == 200:
+                    break
+
+    async def _until(self, is_enough, clause):
+        """Waits until the states of all nodes are enough; too long a wait breaks that clause."""
+        end = time.monotonic() + SETTLING_TIMEOUT
+        while True:
+            states = await asyncio.gather(*(self.cluster.status(name) for name in self.cluster.nodes))
+            if is_enough(states):
+                return
             if time.monotonic() > end:
-                states = [s and (s["rev"], s["state"], s["sure"]) for s in told]
-                return self.judge.fault(clause, f"not within {CALM:g} s: {states}")
-            await asyncio.sleep(0.1)
-
-    def any_up(self):
-        up = [name for name in self.rig.nodes if self.rig.up(name) and name not in self.busy]
-        return self.random.choice(up) if up else None
-
-    async def ask(self, path, body=None, good=(200,)):
-        """Again at any node until one says yes or no: asking again is harmless."""
-        end = time.monotonic() + CALM
+                seen = [state and (state["rev"], state["state"], state["sure"]) for state in states]
+                self.checker.report(clause, f"not within {SETTLING_TIMEOUT:g} s: {seen}")
+                return
+            await asyncio.sleep(POLL_INTERVAL)
+
+    def any_node(self):
+        """Draws a node that is up and in nobody's hand; None where there is none."""
+        nodes = [
+            name for name in self.cluster.nodes if self.cluster.is_up(name) and name not in self.busy_nodes
+        ]
+        return self.random.choice(nodes) if nodes else None
+
+    async def _ask(self, path, body=None, expected=(200,)):
+        """Makes an operator's call, again at any node until one answers yes or no: that is harmless.
+
+        Returns:
+            Status and text; (0, "") where none has answered in time.
+        """
+        end = time.monotonic() + SETTLING_TIMEOUT
         while time.monotonic() < end:
-            if name := self.any_up():
-                status, told = await self.rig.call(name, "POST", path, body)
-                if status in good:
-                    return status, told
+            name = self.any_node()
+            if name:
+                status, text = await self.cluster.call(name, "POST", path, body)
                 # 400: a node that has just begun knows no machine yet.
-                if status not in (0, 400, 503):
-                    return status, told
-            await asyncio.sleep(0.1)
-        self.judge.fault("calls are answered", f"{path}: not within {CALM:g} s")
+                if status in expected or status not in (0, 400, 503):
+                    return status, text
+            await asyncio.sleep(POLL_INTERVAL)
+        self.checker.report("calls are answered", f"{path}: not within {SETTLING_TIMEOUT:g} s")
         return 0, ""
 
-    async def work(self):
-        """The operators' hands: each machine told free is worked at, started anew and given back."""
+    async def _operate(self):
+        """Works at each machine that a node says is free, starts it anew and gives it back."""
         while True:
-            if name := self.any_up():
-                told = await self.rig.status(name)
-                for row in told["machines"] if told else ():
-                    key = row["name"], row["number"]
-                    if row["state"] == "free" and key not in self.in_work:
-                        self.in_work[key] = asyncio.ensure_future(self.work_at(name, *key))
-                        self.tasks.append(self.in_work[key])
-            await asyncio.sleep(0.05)
-
-    async def work_at(self, told_by, name, number):
+            node = self.any_node()
+            if node:
+                state = await self.cluster.status(node)
+                for row in state["machines"] if state else ():
+                    work = (row["name"], row["number"])
+                    if row["state"] == "free" and work not in self._handled_work:
+                        self._handled_work.add(work)
+                        self._tasks.append(asyncio.ensure_future(self._work_at(node, *work)))
+            await asyncio.sleep(SHORT_POLL_INTERVAL)
+
+    async def _work_at(self, informant, name, number):
         if name.startswith("node:"):
-            return await self.start_anew(int(name.removeprefix("node:")))
-        await self.open_up(told_by, name, number)
-        await self.ask(f"/v1/maintenance/back/{name}/{number}", None, (200, 409))
-
-    async def start_anew(self, number):
-        """Work at a node: it is ended as operators do, answers all that it owes, and comes back."""
-        name = [*self.rig.nodes][number]
-        while name in self.busy:
-            await asyncio.sleep(0.05)
-        self.busy.add(name)
-        self.judge.done["nodes worked at"] += 1
-        start = asyncio.get_running_loop().time()
-        await self.rig.end(name, signal.SIGTERM)
-        self.judge.stopped[name].append((start, asyncio.get_running_loop().time()))
+            await self._restart_node(int(name.removeprefix("node:")))
+        else:
+            await self._work_at_executor(informant, name, number)
+            await self._ask(f"/v1/maintenance/back/{name}/{number}", None, (200, 409))
+
+    async def _restart_node(self, number):
+        """Works at a node: it is ended gracefully, answers all that it owes, and comes back."""
+        name = [*self.cluster.nodes][number]
+        while name in self.busy_nodes:
+            await asyncio.sleep(SHORT_POLL_INTERVAL)
+        self.busy_nodes.add(name)
+        self.checker.event_counts["nodes worked at"] += 1
+        loop = asyncio.get_running_loop()
+        start = loop.time()
+        await self.cluster.end(name, signal.SIGTERM)
+        self.checker.graceful_shutdowns[name].append((start, loop.time()))
         await asyncio.sleep(0.2 + self.random.random())
-        await self.rig.launch(name)
-        self.busy.discard(name)
+        await self.cluster.launch(name)
+        self.busy_nodes.discard(name)
 
-    async def open_up(self, told_by, name, number):
-        executor, loop = self.rig.executors[name], asyncio.get_running_loop()
-        began = loop.time()
-        self.judge.done["worked at"] += 1
+    async def _work_at_executor(self, informant, name, number):
+        """Works at an executor that the node `informant` has called free under a number."""
+        executor = self.cluster.executors[name]
+        start = asyncio.get_running_loop().time()
+        self.checker.event_counts["worked at"] += 1
         await asyncio.sleep(0.3 + self.random.random())
-        # Whatever has come since it was told free has met a machine with its lid off.
-        for id, at in executor.forwards:
-            if at > began:
-                self.judge.done["reached in work"] += 1
-                if not self.script:
-                    self.judge.fault(
-                        "free is free",
-                        f"{id} reached {name} {at - began:.3f} s after "
-                        f"{told_by} had told it free by number {number}",
-                    )
+        for request_id, arrived_at in executor.forwards:
+            if arrived_at > start:
+                self.checker.event_counts["reached in work"] += 1
+                if not self.settings.script:
+                    late = arrived_at - start
+                    detail = f"{request_id} reached {name} {late:.3f} s after {informant} had told it free"
+                    self.checker.report("free is free", f"{detail} by number {number}")
         await executor.restart()
-        await self.rig.discovery.change(name, status="Ready", since_ms=int(time.time() * 1000))
+        await self.cluster.discovery.change(name, status="Ready", since_ms=int(time.time() * 1000))
 
     # Faults.
 
-    async def trouble(self):
-        end = time.monotonic() + self.seconds
-        pending, first = [], self.random.sample(self.kinds, len(self.kinds))
-        while time.monotonic() < end or first and self.pace >= 1:
-            await asyncio.sleep(self.random.expovariate(1) * 1.5 / self.pace)
-            # Each kind once before any twice: a fault that did not happen proves nothing.
-            kind = first.pop() if first else self.random.choice(self.kinds)
+    async def _inject_faults(self):
+        end = time.monotonic() + self.settings.seconds
+        pending = []
+        # Each kind once before any twice: a fault that did not happen proves nothing.
+        first_kinds = self.random.sample(self._fault_kinds, len(self._fault_kinds))
+        while time.monotonic() < end or first_kinds and self.settings.pace >= 1:
+            await asyncio.sleep(self.random.expovariate(1) * MEAN_FAULT_INTERVAL / self.settings.pace)
+            kind = first_kinds.pop() if first_kinds else self.random.choice(self._fault_kinds)
             pending.append(asyncio.ensure_future(FAULTS[kind](self)))
         await asyncio.gather(*pending)
 
-    def hurt(self, name, start):
-        self.judge.troubled[name].append((start, asyncio.get_running_loop().time()))
-
-    async def for_a_while(self, low=0.5, high=3.5):
-        await asyncio.sleep(low + (high - low) * self.random.random())
-
-    def take(self):
-        """A node that no other fault has in hand."""
-        if name := self.any_up():
-            self.busy.add(name)
-        return name
-
-    def minority(self, name):
-        """No protocol outlives the loss of what a majority remembers: one minority at a time forgets."""
-        rig = self.rig
-        if rig.number(name) in rig.voters:
-            out = {x for x in self.forgetful | self.busy if rig.number(x) in rig.voters} | {name}
-            if len(out) > (len(rig.voters) - 1) // 2:
-                return False
-        self.forgetful.add(name)
-        return True
-
-    async def stop(self):
-        if name := self.take():
-            start = asyncio.get_running_loop().time()
-            self.rig.stop(name)
-            await self.for_a_while(1.0, 4.0)  # longer than any lease
-            self.rig.go_on(name)
-            self.busy.discard(name)
-            self.hurt(name, start)
-
-    async def kill(self, folder="same"):
-        if name := self.take():
-            start = asyncio.get_running_loop().time()
-            if folder == "same" or self.minority(name):
-                await self.rig.end(name)
-                await self.for_a_while(0.1, 1.5)
-                await self.rig.again(name, folder)
-                self.hurt(name, start)
-            self.busy.discard(name)
-            if name in self.forgetful:
-                await self.remembered(name)
-
-    async def remembered(self, name):
-        end = time.monotonic() + 30
-        while time.monotonic() < end:
-            status, told = await self.rig.call(name, "GET", "/v1/agreement", wait=1.0)
-            if status == 200 and ('"voting"' in told or '"out"' in told):
-                break
-            await asyncio.sleep(0.1)
-        self.forgetful.discard(name)
-
-    async def cut(self):
-        links, draw = self.rig.links, self.random
-        how, pairs = draw.randrange(4), list(links.ways)
-        one = draw.randrange(links.count)
-        side = {i for i in range(links.count) if draw.random() < 0.5}
-        cut = {
-            0: [x for x in pairs if draw.random() < 0.3],
-            1: [x for x in pairs if x[0] == one],
-            2: [x for x in pairs if x[1] == one],
-            3: [x for x in pairs if (x[0] in side) != (x[1] in side)],
-        }
-        for pair in cut[how]:
-            links.ways[pair].cut = True
-        await self.for_a_while()
-        for pair in cut[how]:
-            links.ways[pair].cut = False
-
-    async def bad_links(self):
-        for way in self.rig.links.ways.values():
-            way.loss, way.double, way.spoil, way.reorder, way.jitter = 0.1, 0.1, 0.05, 0.2, 0.05
-        await self.for_a_while()
-        for way in self.rig.links.ways.values():
-            way.loss = way.double = way.spoil = way.reorder = way.jitter = 0.0
-
-    async def stall(self):
-        links, one, end = (
-            self.rig.links,
-            self.random.randrange(self.rig.links.count),
-            self.random.randrange(2),
-        )
-        some = [x for x in links.ways if x[end] == one]
-        for pair in some:
-            links.ways[pair].stalled = True
-        await self.for_a_while()
-        for pair in some:
-            links.flow(*pair)
-
-    async def bad_disk(self):
-        if name := self.take():
-            kind = self.random.choice(("stall", "full", "eio", "read-only", "short"))
-            if kind == "stall" or self.minority(name):
-                self.rig.disk(name, kind)
-                await self.for_a_while()
-                self.rig.disk(name)
-            self.busy.discard(name)
-            if name in self.forgetful:
-                await self.remembered(name)
-
-    async def lying_disk(self):
-        """Says done for a while and is not, or keeps half; then the process is killed."""
-        if name := self.take():
-            start = asyncio.get_running_loop().time()
-            if self.minority(name):
-                self.rig.disk(name, self.random.choice(("lies", "torn")))
-                await self.for_a_while()
-                await self.rig.end(name)
-                self.rig.disk(name)
-                await self.rig.again(name)
-                self.hurt(name, start)
-            self.busy.discard(name)
-            if name in self.forgetful:
-                await self.remembered(name)
-
-    async def copy(self):
-        self.rig.copy(self.random.choice([*self.rig.nodes]))
-
-    async def bad_list(self):
-        """Discovery is out of reach, silent or slow for one node."""
-        door = self.rig.doors[self.random.choice([*self.rig.nodes])]
-        door.turn(self.random.choice(("silent", "reset", "slow")))
-        await self.for_a_while()
-        door.turn(None)
-
-    async def takeover(self):
-        """A new process beside the old one, whose clients it takes over."""
-        if name := self.take():
-            await self.rig.replace(name)
-            self.busy.discard(name)
-
-    async def reload(self):
-        """Other settings and back, or a file that is none."""
-        if name := self.take():
-
-            def fewer(told):
-                told["settings"]["limits"]["maxForwards"] -= 1
-
-            self.rig.reload(name, self.random.choice((fewer, None)))
-            await self.for_a_while(0.2, 1.0)
-            self.rig.reload(name, lambda told: None)
-            self.busy.discard(name)
-
-    async def heal(self):
-        self.rig.links.heal()
-        for _ in range(400):
-            if not self.busy:
+    async def _end_faults(self):
+        """Makes all links good again and has all nodes up."""
+        self.cluster.relay.clear_faults()
+        for _ in range(HEALING_POLLS):
+            if not self.busy_nodes:
                 break
-            await asyncio.sleep(0.05)
-        for name in self.rig.nodes:
-            self.rig.go_on(name)
-            if not self.rig.up(name):
-                await self.rig.again(name)
-
-
-FAULTS = {
-    "cut": Round.cut,
-    "bad links": Round.bad_links,
-    "stall": Round.stall,
-    "stop": Round.stop,
-    "kill": Round.kill,
-    "older folder": lambda r: r.kill("older"),
-    "empty folder": lambda r: r.kill("empty"),
-    "spoilt folder": lambda r: r.kill("spoilt"),
-    "copy": Round.copy,
-    "bad disk": Round.bad_disk,
-    "lying disk": Round.lying_disk,
-    "bad list": Round.bad_list,
-    "takeover": Round.takeover,
-    "reload": Round.reload,
-}
-
-
-async def play(seed, **shape_):
-    """One round, played to its end."""
-    return await Round(seed, **shape_).play()
-
-
-def total(played):
-    """What came about in all rounds together."""
+            await asyncio.sleep(SHORT_POLL_INTERVAL)
+        for name in self.cluster.nodes:
+            self.cluster.resume(name)
+            if not self.cluster.is_up(name):
+                await self.cluster.restart(name)
+
+
+def trial_limits(processes):
+    """Returns limits of the whole fleet, of which more is asked for than they admit."""
+    return [
+        {
+            "name": "all",
+            "rate": REQUEST_RATE * 2 / 3,
+            "burst": max(20, processes),
+            "floor": REQUEST_RATE / 3 / processes,
+        },
+        {"name": "confirms", "underWay": 3, "operation": "confirm"},
+    ]
+
+
+def all_are_sure(states):
+    """Returns whether all nodes have answered and have current views."""
+    return all(state and state["sure"] for state in states)
+
+
+def all_have_no_plan(states):
+    """Returns whether all nodes have answered, have current views and know of no open plan."""
+    return all(state and state["sure"] and not state["plan"] for state in states)
+
+
+async def play(seed, **settings):
+    """Plays one trial to its end; returns its `TrialResult`.
+
+    Args:
+        seed: The trial's seed.
+        **settings: Fields of a `TrialSettings`.
+    """
+    return await Trial(seed, **settings).play()
+
+
+def total_counts(results):
+    """Returns what came about in all trials of these `TrialResult`s together."""
     counts = defaultdict(int)
-    for one in played:
-        for key, n in one.done.items():
-            counts[key] += n
+    for result in results:
+        for event, count in result.event_counts.items():
+            counts[event] += count
     return dict(counts)
--- a/grebedyke/testbed/trial_checker.py
+++ b/grebedyke/testbed/trial_checker.py
@@ -1,128 +1,235 @@
-"""The judge of a round with real processes: by clients, executors and logs, no helper of what is judged."""
+"""The checker of a trial with real processes: by clients, executors and logs.
+
+Nothing of what is checked is used here.
+"""
 
 from collections import Counter, defaultdict
+from typing import NamedTuple
 
-TAKEN = {"leaving", "free", "back"}
-# A message and a close meet on a connection of this machine within that, in seconds.
-CROSSING = 0.02
-# What may follow each state directly.
-AFTER = {
+from grebedyke.testbed.violations import Violation
+
+# A machine in one of these states counts as out, which a plan's `most` limits.
+OUT_STATES = {"leaving", "free", "back"}
+# The states that may directly follow each state.
+FOLLOWING_STATES = {
     "waiting": {"leaving", "skipped"},
     "leaving": {"free", "skipped"},
     "free": {"back", "failed"},
     "back": {"done", "failed"},
     "failed": {"back"},
 }
+# A message and a close meet on a connection of this machine within that, in seconds.
+CROSSING_TIME = 0.02
+# A client's answer may come so many seconds after its deadline.
+ANSWER_TOLERANCE = 1
+# So many requests succeed at least: as a part of those taken, or under limits in all.
+SUCCEEDED_DIVISOR = 4
+SUCCEEDED_UNDER_LIMITS = 20
+
 
+class MachineChange(NamedTuple):
+    """A change of a machine's state as a log has it.
 
-class Judge:
-    """`troubled`: node -> (from, to) in which its process was stopped or ended; `broken`: (clause, words)."""
+    Attributes:
+        revision: The rollout's revision that brought it.
+        machine: The machine's name.
+    """
+
+    revision: int
+    machine: str
+
+
+class TrialChecker:
+    """Checks a trial.
+
+    Attributes:
+        violations: A `Violation` for each broken promise.
+        event_counts: What came about.
+        disturbances: By node the (start, end) in which its process was paused or killed.
+        graceful_shutdowns: By node the (start, end) in which its process was ended as operators do.
+    """
 
     def __init__(self):
-        self.broken, self.done, self.troubled, self.told = [], Counter(), defaultdict(list), None
-        self.stopped = defaultdict(list)  # node -> (from, to) in which its process was ended as operators do
+        self.violations = []
+        self.event_counts = Counter()
+        self.disturbances = defaultdict(list)
+        self.graceful_shutdowns = defaultdict(list)
+        self._accepted_plan = None
+
+    def report(self, clause, detail):
+        """Notes a broken promise."""
+        self.violations.append(Violation(clause, detail))
 
-    def fault(self, clause, words):
-        self.broken.append((clause, words))
+    # What is seen.
 
-    def promised(self, answer):
-        """Told as taken: it has to be so whatever is lost from then on."""
+    def node_disturbed(self, name, start, end):
+        """Notes that a node's process was paused or killed."""
+        self.disturbances[name].append((start, end))
+
+    def plan_answered(self, answer):
+        """Notes the answer to the plan: once accepted it stays so, whatever is lost from then on."""
         status, text = answer
         if status != 200:
-            return self.fault("calls are answered", f"the plan: {status} {text}")
-        self.told = text.split()[1].rstrip(":")
+            self.report("calls are answered", f"the plan: {status} {text}")
+        else:
+            self._accepted_plan = text.split()[1].rstrip(":")
 
-    def refused(self, answer):
-        """A second plan: no while the first is open, or taken once that has ended."""
+    def second_plan_answered(self, answer):
+        """Checks the answer to a second plan: no while the first is open, or taken once that has ended."""
         status, text = answer
         if status not in (200, 409):
-            self.fault("two operators", f"{status} {text}")
-
-    def rules(self, ledger, nodes, limited=False):
-        """Rules 1 to 3; what a killed or stopped process had taken is its own loss."""
-        for broken in ledger.judge():
-            entry, node = ledger.entries[broken.id], broken.id.partition("-")[0]
-            due = (entry.sent or 0) + entry.operation.timeout + 1
-            lost = broken.rule == 1 and any(
-                a <= due and b >= (entry.sent or 0) for a, b in self.troubled[node]
-            )
-            if broken.rule == 1 and not entry.answers and entry.ended is not None:
-                # Written while the node, about to end, closed that idle connection: no node has taken it.
-                crossed = entry.ended - entry.sent < CROSSING
-                if crossed and any(a <= entry.sent <= b for a, b in self.stopped[node]):
-                    self.done["crossed a close"] += 1
+            self.report("two operators", f"{status} {text}")
+
+    # The rules of the answers to clients.
+
+    def check_rules(self, ledger, is_limited=False):
+        """Checks rules 1 to 3; what a killed or paused process had taken is its own loss.
+
+        Args:
+            ledger: The ledger of clients and executors.
+            is_limited: Whether the fleet had limits.
+        """
+        for violation in ledger.judge():
+            entry = ledger.entries[violation.id]
+            node = violation.id.partition("-")[0]
+            if violation.rule == 1:
+                if self._has_crossed_close(entry, node):
+                    self.event_counts["crossed a close"] += 1
+                    continue
+                if self._was_lost_by_fault(entry, node):
                     continue
-            if not lost:
-                ended = entry.ended and entry.ended - (entry.sent or 0)
-                since = [round((entry.sent or 0) - a, 3) for a, _ in self.stopped[node]]
-                self.fault(
-                    f"rule {broken.rule}",
-                    f"{broken.id}: {broken.what}; its client's end came {ended} s after it was sent, "
-                    f"{since} s after its node was told to end",
-                )
+            self._report_rule(violation, entry, node)
         counts = ledger.counts()
-        self.done["taken"] += counts["taken"]
-        self.done["succeeded"] += counts["succeeded"]
+        self.event_counts["taken"] += counts["taken"]
+        self.event_counts["succeeded"] += counts["succeeded"]
         # A fleet that sends nothing breaks no rule.
-        if counts["succeeded"] < (counts["taken"] / 4 if not limited else 20):
-            self.fault("work goes on", f"{dict(counts)}")
+        least = SUCCEEDED_UNDER_LIMITS if is_limited else counts["taken"] / SUCCEEDED_DIVISOR
+        if counts["succeeded"] < least:
+            self.report("work goes on", f"{dict(counts)}")
+
+    def _has_crossed_close(self, entry, node):
+        """Returns whether a request was written while its node, about to end, closed that idle connection.
 
-    def limits(self, ledger, shares, late):
-        """By what reached the executors: in any window W at most limit * (W + late) + burst invocations, and
-        never more under way. `late`: from a node's yes until the executor has it, in seconds.
+        No node has taken such a request, and so nobody owes it an answer.
         """
-        for limit in shares:
-            mine = {
-                id: entry
-                for id, entry in ledger.entries.items()
-                if limit.get("operation") in (None, entry.operation.name) and ledger.forwards[id]
-            }
-            came = sorted((min(at for at, _ in ledger.forwards[id]), id) for id in mine)
-            self.done[f"limit {limit['name']}"] += len(came)
+        if entry.answers or entry.ended is None or entry.ended - entry.sent >= CROSSING_TIME:
+            return False
+        return any(start <= entry.sent <= end for start, end in self.graceful_shutdowns[node])
+
+    def _was_lost_by_fault(self, entry, node):
+        sent = entry.sent or 0
+        due = sent + entry.operation.timeout + ANSWER_TOLERANCE
+        return any(start <= due and end >= sent for start, end in self.disturbances[node])
+
+    def _report_rule(self, violation, entry, node):
+        sent = entry.sent or 0
+        ended = entry.ended and entry.ended - sent
+        since = [round(sent - start, 3) for start, _ in self.graceful_shutdowns[node]]
+        self.report(
+            f"rule {violation.rule}",
+            f"{violation.id}: {violation.what}; its client's end came {ended} s after it was sent, "
+            f"{since} s after its node was told to end",
+        )
+
+    # Limits.
+
+    def check_limits(self, ledger, limits, longest_queue_time):
+        """Checks what reached the executors, up to the first limit that is exceeded.
+
+        In any window W at most limit * (W + longest_queue_time) + burst requests, and never more in flight.
+
+        Args:
+            ledger: The ledger of clients and executors.
+            limits: Rows of a configuration.
+            longest_queue_time: Seconds from a node's admission of a request until an executor has it.
+        """
+        for limit in limits:
+            arrivals = sorted(
+                (min(time for time, _ in ledger.forwards[request_id]), request_id)
+                for request_id, entry in ledger.entries.items()
+                if limit.get("operation") in (None, entry.operation.name) and ledger.forwards[request_id]
+            )
+            self.event_counts[f"limit {limit['name']}"] += len(arrivals)
             if "rate" in limit:
-                level = room = limit["burst"] + limit["rate"] * late
-                before = came[0][0] if came else 0
-                for at, id in came:
-                    level, before = min(level + limit["rate"] * (at - before), room) - 1, at
-                    if level < 0:
-                        return self.fault("over the rate", f"{limit['name']} by {-level:.1f} at {id}")
-                continue
-            ends = [(max(at for at, _ in ledger.runs[id]), -1) for _, id in came if ledger.runs[id]]
-            under_way = 0
-            for at, change in sorted([(at, 1) for at, id in came if ledger.runs[id]] + ends):
-                under_way += change
-                if under_way > limit["underWay"]:
-                    return self.fault("too many under way", f"{limit['name']}: {under_way} at {at:.3f}")
-
-    def logs(self, events, most, voters=frozenset()):
-        """All nodes tell one story: one change for each number, in an allowed order, within limits."""
-        story, plans = {}, {}
+                is_kept = self._check_rate(limit, arrivals, longest_queue_time)
+            else:
+                is_kept = self._check_concurrency(limit, arrivals, ledger.runs)
+            if not is_kept:
+                return
+
+    def _check_rate(self, limit, arrivals, longest_queue_time):
+        capacity = limit["burst"] + limit["rate"] * longest_queue_time
+        tokens = capacity
+        previous = arrivals[0][0] if arrivals else 0
+        for time, request_id in arrivals:
+            tokens = min(tokens + limit["rate"] * (time - previous), capacity) - 1
+            previous = time
+            if tokens < 0:
+                self.report("over the rate", f"{limit['name']} by {-tokens:.1f} at {request_id}")
+                return False
+        return True
+
+    def _check_concurrency(self, limit, arrivals, runs):
+        ran = [(time, request_id) for time, request_id in arrivals if runs[request_id]]
+        starts = [(time, 1) for time, _ in ran]
+        ends = [(max(time for time, _ in runs[request_id]), -1) for _, request_id in ran]
+        in_flight = 0
+        for time, change in sorted(starts + ends):
+            in_flight += change
+            if in_flight > limit["underWay"]:
+                self.report("too many under way", f"{limit['name']}: {in_flight} at {time:.3f}")
+                return False
+        return True
+
+    # Logs.
+
+    def check_logs(self, events, most, voters=frozenset()):
+        """Checks that all nodes log the same: one change for each number, in order, within the limits.
+
+        Args:
+            events: (node, event) of all logs.
+            most: How many machines may be out at once.
+            voters: Names of the nodes that vote, as machines.
+        """
+        changes, plans = self._merge_logs(events)
+        if self._accepted_plan and self._accepted_plan not in [plan for plan, _ in plans.values()]:
+            detail = f"plan {self._accepted_plan} was told as taken and is in no log"
+            self.report("told is kept", detail)
+        states = {}
+        for change, state in sorted(changes.items()):
+            self._check_order(change, states.get(change.machine), state)
+            states[change.machine] = state
+            out = [name for name, known in states.items() if known in OUT_STATES]
+            if len(out) > most:
+                self.report("most out", f"{out} under {change.revision}")
+            if len(voters.intersection(out)) > 1:
+                self.report("one voter at a time", f"{out} under {change.revision}")
+        self.event_counts["changes"] += len(changes)
+
+    def _merge_logs(self, events):
+        """Returns the state of each `MachineChange`, and the (plan, state) of each revision."""
+        changes = {}
+        plans = {}
         for node, event in events:
+            revision = event.get("rev")
             if event["event"] == "machine":
-                key, change = event["rev"], (event["machine"], event["state"])
+                machine = event["machine"]
                 # A node that has missed some learns several at once: each with the number it came by.
-                known = story.setdefault((key, event["machine"]), event["state"])
+                known = changes.setdefault(MachineChange(revision, machine), event["state"])
                 if known != event["state"]:
-                    self.fault("one value", f"{node} has {change} under {key}, others {known}")
+                    seen = (machine, event["state"])
+                    self.report("one value", f"{node} has {seen} under {revision}, others {known}")
             elif event["event"] == "plan":
-                known = plans.setdefault(event["rev"], (event["plan"], event["state"]))
-                if known != (event["plan"], event["state"]):
-                    self.fault(
-                        "one value",
-                        f"{node} has {event['plan']} {event['state']} under {event['rev']}, others {known}",
-                    )
-        if self.told and self.told not in [plan for plan, _ in plans.values()]:
-            self.fault("told is kept", f"plan {self.told} was told as taken and is in no log")
-        at = {}
-        for (rev, machine), state in sorted(story.items()):
-            before = at.get(machine)
-            if before and state != "waiting" and state not in AFTER.get(before, ()):
-                # Several steps in one change of the board: the ones between have their own numbers.
-                self.fault("order of states", f"{machine}: {before}, then {state} under {rev}")
-            at[machine] = state
-            out = [name for name, s in at.items() if s in TAKEN]
-            if len(out) > most:
-                self.fault("most out", f"{out} under {rev}")
-            if len(voters.intersection(out)) > 1:
-                self.fault("one voter at a time", f"{out} under {rev}")
-        self.done["changes"] += len(story)
+                plan = (event["plan"], event["state"])
+                known = plans.setdefault(revision, plan)
+                if known != plan:
+                    seen = f"{event['plan']} {event['state']}"
+                    self.report("one value", f"{node} has {seen} under {revision}, others {known}")
+        return changes, plans
+
+    def _check_order(self, change, before, state):
+        """Checks a step; of several in one revision the ones between have numbers of their own."""
+        if before and state != "waiting" and state not in FOLLOWING_STATES.get(before, ()):
+            self.report(
+                "order of states", f"{change.machine}: {before}, then {state} under {change.revision}"
+            )
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -26,8 +26,8 @@
 from grebedyke.rate_limits.request_limiter import RequestLimiter
 from grebedyke.rate_limits.token_bucket import TokenBucket
 from grebedyke.testbed import broken_builds, simulated_limits, trial
-from grebedyke.testbed.process_cluster import Rig
-from grebedyke.testbed.trial_checker import Judge
+from grebedyke.testbed.process_cluster import ProcessCluster, ProcessClusterSettings
+from grebedyke.testbed.trial_checker import TrialChecker
 
 # Ten requests a second, a burst of ten.
 LIMIT = Limit("l", LimitKind.RATE, 10_000, 10, 0, None, None, False)
@@ -319,24 +319,24 @@
 # Real processes.
 
 
-async def lease_holder(rig):
+async def lease_holder(cluster):
     """The name of the node that holds the limits, and its term, once there is one."""
     while True:
-        for name in rig.nodes:
-            status, answer = await rig.call(name, "GET", "/v1/limits", wait=1.0)
+        for name in cluster.nodes:
+            status, answer = await cluster.call(name, "GET", "/v1/limits", timeout=1.0)
             if status == 200 and json.loads(answer)["holds"]:
                 return name, json.loads(answer)["term"]
         await asyncio.sleep(0.05)
 
 
-async def shown_by_command(rig):
+async def shown_by_command(cluster):
     """What `grebedyke limits` shows of one node."""
     return await asyncio.to_thread(
-        CliRunner().invoke, cli, ["limits", "--node", "%s:%d" % rig.consoles["n0"]]
+        CliRunner().invoke, cli, ["limits", "--node", "%s:%d" % cluster.admin_addresses["n0"]]
     )
 
 
-async def lose_holder_and_halve(rig, first_holder, limits, clients):
+async def lose_holder_and_halve(cluster, first_holder, limits, clients):
     """Offers 85 requests a second, kills the holder, starts it again and halves the limit in all files.
 
     Returns:
@@ -345,19 +345,19 @@
     plan = shape.arrivals(77, "poisson", 85, 14, "exponential", 0.03, trial.OPERATIONS)
     load = asyncio.ensure_future(clients.play(plan))
     await asyncio.sleep(3)
-    await rig.end(first_holder)
-    second = await lease_holder(rig)
-    await rig.again(first_holder)
-    rig.shares = [{**limits[0], "rate": 15}, limits[1]]
-    for name in rig.nodes:
-        rig.reload(name, lambda told: None)
+    await cluster.end(first_holder)
+    second = await lease_holder(cluster)
+    await cluster.restart(first_holder)
+    cluster.limits = [{**limits[0], "rate": 15}, limits[1]]
+    for name in cluster.nodes:
+        cluster.reload(name)
     await asyncio.sleep(3)
     # As operators see it; a node whose share is old says how old.
-    shown = await shown_by_command(rig)
+    shown = await shown_by_command(cluster)
     assert shown.exit_code == 0 and "holder node" in shown.output and "15 a second" in shown.output
     shares = []
-    for name in rig.nodes:
-        _, answer = await rig.call(name, "GET", "/v1/limits")
+    for name in cluster.nodes:
+        _, answer = await cluster.call(name, "GET", "/v1/limits")
         shares.append(json.loads(answer)["limits"][0])
     await load
     return second, shares
@@ -371,21 +371,24 @@
     ]
 
     async def story():
-        rig = Rig(trial.OPERATIONS, 3, 6, seed=77, shares=limits)
+        settings = ProcessClusterSettings(
+            operations=trial.OPERATIONS, nodes=3, executors=6, seed=77, limits=limits
+        )
+        cluster = ProcessCluster(settings)
         try:
-            await rig.start()
-            first = await lease_holder(rig)
-            clients = Clients(rig.nodes, seed=77, retries=0)
-            second, shares = await lose_holder_and_halve(rig, first[0], limits, clients)
-            rig.fill(clients.ledger)
-            judge = Judge()
-            judge.limits(clients.ledger, limits, trial.LATE)
-            return first, second, shares, clients.ledger.counts(), judge
+            await cluster.start()
+            first = await lease_holder(cluster)
+            clients = Clients(cluster.nodes, seed=77, retries=0)
+            second, shares = await lose_holder_and_halve(cluster, first[0], limits, clients)
+            cluster.fill(clients.ledger)
+            checker = TrialChecker()
+            checker.check_limits(clients.ledger, limits, trial.LONGEST_QUEUE_TIME)
+            return first, second, shares, clients.ledger.counts(), checker
         finally:
-            await rig.close()
+            await cluster.close()
 
-    first, second, shares, counts, judge = asyncio.run(asyncio.wait_for(story(), 90))
+    first, second, shares, counts, checker = asyncio.run(asyncio.wait_for(story(), 90))
     assert second[0] != first[0] and second[1] > first[1]
     assert {row["limit"] for row in shares} == {15}
     assert sum(row["share"] + row["floor"] for row in shares) <= 15
-    assert not judge.broken and counts["throttled"] > 100 and counts["succeeded"] > 60
+    assert not checker.violations and counts["throttled"] > 100 and counts["succeeded"] > 60
