--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -269,7 +269,7 @@
 
 
 async def hot_restart(cluster, name):
-    """Starts a process beside the one that serves and ends that; returns what the new one says of the plan."""
+    """Starts a process beside the one that serves and ends that; returns what the new one says now."""
     former = cluster.processes[name]
     cluster.admin_addresses[name] = None
     await cluster.launch(name)
