--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -109,7 +109,7 @@
     start = world.now // TICKS_PER_SECOND
     world.run(world.now + 30 * TICKS_PER_SECOND)
     if world.checker.violations:
-        raise click.ClickException(f"{loss}: {world.checker.violations[0]}")
+        raise click.ClickException(f"{loss}: {tuple(world.checker.violations[0])}")
     used = [world.checker.admitted[start + second] / LIMITS.rate for second in range(1, 29)]
     recovered = max((second for second, fraction in enumerate(used, 1) if fraction < 0.9), default=0)
     return recovered, min(used)
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -44,9 +44,9 @@
 from grebedyke.testbed.simulated_limits import LimitedRequest
 from grebedyke.testbed.simulated_settings import maintenance_settings
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire import http
-from grebedyke.wire.discovery import entries
-from grebedyke.wire.peers import Peers
+from grebedyke.wire.endpoint_rows import parse_endpoint_rows
+from grebedyke.wire.http_messages import request_head
+from grebedyke.wire.peer_socket import PeerSocket
 
 # As the program has them without further word: fleet.waitMs, maintenance.leaseMs, shares.leaseMs.
 WAIT, LEASE = TICKS_PER_SECOND // 5, 2 * TICKS_PER_SECOND
@@ -366,7 +366,7 @@
     world = quiet(Measured(nodes, limits=34, full=True))
     if what == "restart of all":
         for host in world.nodes:
-            host.end()
+            host.crash()
             world.schedule(world.random.randrange(1, TICKS_PER_SECOND), host.start)
     else:
         # Voters 0 to 4: three of them, and three of five nodes, on one side.
@@ -440,7 +440,7 @@
 
     def __init__(self, executors, operations=2, tenants=34, nodes=760, probes=True):
         conf = terms(settings(nodes, operations=operations, tenants=tenants, probes=probes))
-        self.d, self.now, self.events, self.node_count, self.took = (
+        self.d, self.now, self.events, self.count, self.took = (
             open_dispatcher("b", conf),
             TICKS_PER_SECOND,
             [],
@@ -448,7 +448,7 @@
             0.0,
         )
         self.operations, self.tenants, self.run, self.out = operations, tenants, {}, 0
-        self.rows = endpoint_rows(entries(orjson.loads(listing(executors))))
+        self.rows = endpoint_rows(parse_endpoint_rows(orjson.loads(listing(executors))))
         self.tell(self.d.handle, EndpointsChanged(True, self.rows))
 
     def tell(self, call, *args):
@@ -463,18 +463,18 @@
                 self.forward(action.request_id)
             elif isinstance(action, Probe):
                 answer = ProbeAnswered(action.endpoint_id, Outcome.SUCCEEDED, 4, 0)
-                self.schedule(20, self.d.handle, answer)
+                self.later(20, self.d.handle, answer)
             elif isinstance(action, WakeAt):
-                self.schedule(max(action.at - self.now, 1), self.nothing)
+                self.later(max(action.at - self.now, 1), self.nothing)
 
     def nothing(self, now):
         """A wake that is due."""
 
     def forward(self, id):
         n, self.out = len(self.d.requests[id].attempts) - 1, self.out + 1
-        self.schedule(30, self.d.handle, AttemptStarted(id, n))
+        self.later(30, self.d.handle, AttemptStarted(id, n))
         if self.run[id]:
-            self.schedule(30 + self.run[id], self.end, id, n)
+            self.later(30 + self.run[id], self.end, id, n)
 
     def end(self, now, id, n):
         self.d.handle(now, AttemptEnded(id, n, Outcome.SUCCEEDED, True))
@@ -482,8 +482,8 @@
         del self.run[id]
 
     def later(self, wait, call, *args):
-        self.node_count += 1
-        heappush(self.events, (self.now + wait, self.node_count, call, args))
+        self.count += 1
+        heappush(self.events, (self.now + wait, self.count, call, args))
 
     def until(self, when):
         while self.events and self.events[0][0] <= when:
@@ -492,10 +492,10 @@
         self.now = when
 
     def take(self, run):
-        self.node_count += 1
-        id = f"i{self.node_count}"
+        self.count += 1
+        id = f"i{self.count}"
         self.run[id] = run
-        op, tenant = f"op{self.node_count % self.operations}", f"t{self.node_count % self.tenants}"
+        op, tenant = f"op{self.count % self.operations}", f"t{self.count % self.tenants}"
         event = RequestArrived(id, op, tenant, self.now + 600 * TICKS_PER_SECOND)
         self.tell(self.d.handle, event)
 
@@ -569,12 +569,12 @@
     text, took, books = listing(size), [], Books(size)
     for _ in range(5):
         start = thread_time()
-        rows = entries(orjson.loads(text))
+        rows = parse_endpoint_rows(orjson.loads(text))
         parsed = thread_time() - start
         books.took = 0.0
         books.tell(books.d.handle, EndpointsChanged(True, endpoint_rows(rows)))
         took.append(parsed + books.took)
-    call = http.request(b"GET", b"/discovery/hosts?after=12345&wait_ms=2000", b"10.0.0.1:9000")
+    call = request_head(b"GET", b"/discovery/hosts?after=12345&wait_ms=2000", b"10.0.0.1:9000")
     return [
         row(
             "discovery, for each node",
@@ -612,10 +612,10 @@
             with socket.socket(type=socket.SOCK_DGRAM) as s:
                 s.bind(("127.0.0.1", 0))
                 addresses.append(s.getsockname())
-        both, wanted = [Peers(loop, turn, take, 1_200) for _ in range(2)], [0]
+        both, wanted = [PeerSocket(loop, turn, take, 1_200) for _ in range(2)], [0]
         for i, peers in enumerate(both):
-            peers.move(addresses, i)
-        await asyncio.gather(*(peers.task for peers in both))
+            peers.set_peers(addresses, i)
+        await asyncio.gather(*(peers.open_task for peers in both))
         start = thread_time()
         for _ in range(count // 10):
             # Ten in a turn: a voter of hundreds of nodes finds some whenever it looks.
--- a/grebedyke/service/fleet_assembly.py
+++ b/grebedyke/service/fleet_assembly.py
@@ -8,7 +8,7 @@
 from grebedyke.consensus import framing
 from grebedyke.consensus.consensus import Consensus
 from grebedyke.model.seeded_random import SeededRandom
-from grebedyke.service.component_host import LARGEST_CALL, ComponentHost, NodeAccess
+from grebedyke.service.component_host import LARGEST_CALL, ComponentAction, ComponentHost, NodeAccess
 from grebedyke.service.record_files import RecordFiles
 from grebedyke.units import ticks
 
@@ -134,7 +134,7 @@
 
     def with_open_attempts(names):
         endpoints = node.pool.endpoints
-        return [name for name in names if name in endpoints and endpoints[name].flights]
+        return [name for name in names if name in endpoints and endpoints[name].open_attempts]
 
     return NodeAccess(
         send_datagram=node.peers.send,
@@ -155,9 +155,8 @@
         return decision if decision is not None else host.next_action(now)
 
     def carry_out(now, action):
-        # The host gives plain pairs, the dispatcher one of `grebedyke.model.actions`.
-        if type(action) is tuple:
-            host.perform(now, *action)
+        if isinstance(action, ComponentAction):
+            host.perform(now, action.component, action.action)
         else:
             carry_decision(now, action)
 
@@ -168,7 +167,7 @@
 
 def connect_datagrams(peers, host):
     """Tells the components' datagrams from gossip by their first byte."""
-    receive_gossip = peers.heard
+    receive_gossip = peers.on_message
     component_prefix = bytes([framing.VERSION])
 
     def receive(now, sender, data):
@@ -177,8 +176,8 @@
         else:
             receive_gossip(now, sender, data)
 
-    peers.heard = receive
-    peers.largest = framing.LARGEST_DATAGRAM
+    peers.on_message = receive
+    peers.max_datagram_bytes = framing.LARGEST_DATAGRAM
 
 
 def connect_rate_limits(node, components):
--- a/grebedyke/testbed/hollow_node.py
+++ b/grebedyke/testbed/hollow_node.py
@@ -25,7 +25,7 @@
 from grebedyke.testbed import broken_builds
 from grebedyke.testbed.process_agent import BEAT_INTERVAL, ProcessAgent
 from grebedyke.testbed.process_settings import Instruments, ProcessSettings
-from grebedyke.wire.peers import Peers
+from grebedyke.wire.peer_socket import PeerSocket
 
 
 class SharedResources:
@@ -100,7 +100,7 @@
             self._host.disk_thread.shutdown(wait=True)
         self._start_count += 1
         self._build()
-        self._peers.move(self._configuration["peers"], self.node_id)
+        self._peers.set_peers(self._configuration["peers"], self.node_id)
         self.batch_loop.put(self._host.endpoints_changed, True, self._shared.endpoint_rows)
         self._host.start(False)
         self.is_running = True
@@ -118,7 +118,7 @@
         process = new_process_id()
         seed = f"{self._configuration['seed']} {self._start_count}"
         node_configuration = {**self._configuration, "seed": seed}
-        peers = Peers(shared.loop, batch_loop, None, framing.LARGEST_DATAGRAM)
+        peers = PeerSocket(shared.loop, batch_loop, None, framing.LARGEST_DATAGRAM)
         fleet = self._configuration["fleet"]
         host = ComponentHost(
             shared.loop,
@@ -129,7 +129,7 @@
             self._node_access(peers),
         )
         self.probe.attach(host, peers, shared.loop)
-        peers.heard = host.receive_datagram
+        peers.on_message = host.receive_datagram
         batch_loop.decide = host.next_action
         batch_loop.last_look = host.expire
         batch_loop.carry = lambda now, decision: host.perform(now, *decision)
@@ -152,7 +152,7 @@
             return
         self.is_running = False
         self.demand.stop()
-        self._peers.move([], 0)
+        self._peers.set_peers([], 0)
         self._host.is_started = False
         self.batch_loop.limits.clear()
         self._host.close()
--- a/grebedyke/testbed/instrumentation.py
+++ b/grebedyke/testbed/instrumentation.py
@@ -100,7 +100,7 @@
 
         Args:
             host: The process's `ComponentHost`.
-            peers: The process's `Peers`, whose socket the node uses.
+            peers: The process's `PeerSocket`, whose socket the node uses.
             loop: The event loop.
         """
         self.host = host
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -79,9 +79,9 @@
     d.listed(10, True, rows(1, 2, 3, 4))
     for now, id, wanted in ((20, 1, Forward), (900, 2, answer)):
         d.taken(now, id, "op", None, now + 50_000, 1_000, 1)
-        assert [type(x) for x in pull(d, now)] == [Forward]
+        assert [type(action) for action in pull(d, now)] == [Forward]
         d.ended(now + 10, id, 0, outcome, False)
-        assert [type(x) for x in pull(d, now + 10)] == [wanted]
+        assert [type(action) for action in pull(d, now + 10)] == [wanted]
 
 
 def assert_within_budget(now, terms, requests, retries):
@@ -147,10 +147,9 @@
 
     def judge(self):
         """Carries out what the node decides; each retry has to be within the budget."""
-        for forward in pull(self.dispatcher, self.now, Forward):
-            id = forward.request_id
-            number = len(self.dispatcher.requests[id].attempts) - 1
-            self.open_attempts.append((id, number))
+        for action in pull(self.dispatcher, self.now, Forward):
+            number = len(self.dispatcher.requests[action.request_id].attempts) - 1
+            self.open_attempts.append((action.request_id, number))
             if number > 0:
                 self.retries.append(self.now)
                 if self.terms.window:
@@ -178,7 +177,7 @@
         state = orjson.loads(orjson.dumps(old.retry_budget.export_state()))
         for request, number in self.open_attempts:
             old.ended(self.now, request, number, Outcome.REJECTED, False)
-        sent = {forward.request_id for forward in pull(old, self.now, Forward)}
+        sent = {action.request_id for action in pull(old, self.now, Forward)}
         assert not self.terms.window or not any(len(old.requests[id].attempts) > 1 for id in sent)
         self.open_attempts = []
         self.dispatcher = dispatcher(budget=self.terms)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -26,11 +26,12 @@
 import msgpack
 import orjson
 import pytest
-from helpers import dispatcher
 
 if __name__ == "__main__":
     sys.path.insert(0, str(Path(__file__).parent.parent))
 
+import helpers
+
 from grebedyke import errors
 from grebedyke.checks import checked
 from grebedyke.consensus import framing, member_record, records
@@ -55,7 +56,8 @@
 from grebedyke.testbed import simulated_cluster, simulated_limits, simulated_settings
 from grebedyke.units import TICKS_PER_SECOND
 from grebedyke.wire import peer_codec
-from grebedyke.wire.discovery import entries
+from grebedyke.wire.endpoint_rows import parse_endpoint_rows
+from grebedyke.wire.request_headers import JobUpdate
 
 GOLDEN = Path(__file__).parent / "data" / "golden"
 
@@ -71,7 +73,6 @@
     "news": SlotProgressed,
     "end": SlotReleased,
 }
-PEER_KINDS = {message: kind for kind, message in PEER_MESSAGES.items()}
 
 
 def pack_datagram(kind, number, *figures):
@@ -80,24 +81,29 @@
 
 def unpack_datagram(body):
     message = peer_codec.decode(body)
-    return message and (PEER_KINDS[type(message)], *message)
+    if message is None:
+        return None
+    kind = next(kind for kind, type_ in PEER_MESSAGES.items() if type(message) is type_)
+    return (kind, *message)
 
 
 def deliver_datagram(sender, body):
-    """The figures with which a datagram reaches the rules in the dispatcher of node 1 of 3."""
+    """What a datagram comes to at the rules of node 1 of 3, each as one list of figures."""
     calls = []
-    receiver = dispatcher(nodes=3, me=1, split=1)
-    tracking = receiver.tracking
-    tracking.started = lambda now, event, start_delay: calls.append((now, *event, start_delay))
-    tracking.progressed = tracking.ended = lambda now, event: calls.append((now, *event))
-    receiver._peer_handlers |= {
-        SlotRequest: lambda now, node, x: calls.append((now, (node, x.number), *x[1:])),
-        SlotGrant: lambda now, node, x: calls.append((now, node, *x)),
-        SlotDenial: lambda now, node, x: calls.append((now, *x)),
+    node = helpers.dispatcher(nodes=3, me=1, split=1)
+    node._peer_handlers |= {
+        SlotRequest: lambda now, by, message: calls.append((now, (by, message.number), *message[1:])),
+        SlotGrant: lambda now, by, message: calls.append((now, by, *message)),
+        SlotDenial: lambda now, by, message: calls.append((now, *message)),
     }
+    node.tracking = SimpleNamespace(
+        started=lambda now, event, start_delay: calls.append((now, *event, start_delay)),
+        progressed=lambda now, event: calls.append((now, *event)),
+        ended=lambda now, event: calls.append((now, *event)),
+    )
     message = peer_codec.decode(body)
-    if message:
-        receiver.handle(1_000, PeerMessageReceived(sender, message))
+    if message is not None:
+        node.handle(1_000, PeerMessageReceived(sender, message))
     return calls
 
 
@@ -233,7 +239,7 @@
         self.loop, self.node = loop, assemble(loop, said, lambda: said, clock=lambda: self.NOW)
         self.node.turn.marks.extend([self.NOW] * 3)
         self.node.desk.shift = self.NOW - 50_000
-        self.node.desk.listed(self.NOW, True, entries(known))
+        self.node.desk.listed(self.NOW, True, parse_endpoint_rows(known))
         self.handover = self.node.handover
 
     async def listen(self, inherited=None):
@@ -244,11 +250,12 @@
         dispatcher, now = self.node.desk.dispatcher, self.NOW
         for i, operation in enumerate(["op", "safe", "op", "safe"]):
             id = b"r%d" % i
-            then = now + i * TICKS_PER_SECOND
-            dispatcher.handle(then, RequestArrived(id, operation, "t", now + 90_000))
-            self.decisions(then)
-            dispatcher.handle(then + 5, AttemptEnded(id, 0, Outcome.CONNECT_FAILED, False))
-            self.decisions(then + 5)
+            request = RequestArrived(id, operation, "t", now + 90_000, 0, 1)
+            dispatcher.handle(now + i * TICKS_PER_SECOND, request)
+            self.decisions(now + i * TICKS_PER_SECOND)
+            end = AttemptEnded(id, 0, Outcome.CONNECT_FAILED, False, None)
+            dispatcher.handle(now + i * TICKS_PER_SECOND + 5, end)
+            self.decisions(now + i * TICKS_PER_SECOND + 5)
         self.node.desk.by_hand(now, "s-2", True)
 
     def decisions(self, now):
@@ -261,33 +268,35 @@
         return sorted(self.node.desk.dispatcher.endpoints.banned)
 
     def list_index(self):
-        return self.node.watch.index
+        return self.node.watch.version
 
     def clients(self):
-        return [[client.good, client.caller] for client in self.node.door.clients]
+        return [[one.proven, one.is_executor] for one in self.node.door.connections.accepted]
 
     def say_all(self):
         """Each kind of word to the other process."""
         self.node.console.by_hand(self.NOW, "s-1", True)
         self.node.console.by_hand(self.NOW, "s-2", False)
-        self.node.desk.news(self.NOW, "r7", "s-1", "done", b"42\xc3\xa9", {"x0": 2, "rif": 1.5})
-        self.node.desk.news(self.NOW, "r8", "s-1", "started", b"")
+        self.node.desk.news(self.NOW, JobUpdate("r7", "s-1", "done", b"42\xc3\xa9", {"x0": 2, "rif": 1.5}))
+        self.node.desk.news(self.NOW, JobUpdate("r8", "s-1", "started", b""))
         self.node.reload()
 
     def give_client(self, sock, good, caller):
         transport = SimpleNamespace(get_extra_info=lambda name: sock)
-        self.node.hand(SimpleNamespace(transport=transport, good=good, caller=caller, abort=lambda: None))
+        self.node.hand(
+            SimpleNamespace(transport=transport, proven=good, is_executor=caller, abort=lambda: None)
+        )
 
     def record_words(self):
         """What the other process says of call-backs and reloads, in place of what would follow."""
         heard = []
-        self.node.desk.news = lambda now, *what: heard.append(["news", *what])
+        self.node.desk.news = lambda now, update, *ours: heard.append(["news", *update, *ours])
         self.node.reload = lambda passed_on: heard.append(["reload", passed_on])
         return heard
 
     def close(self):
         self.handover.close()
-        self.node.door.shut()
+        self.node.door.close()
 
 
 def line(loop, sock, heard):
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -2,8 +2,9 @@
 
 import orjson
 import pytest
-from crossing import TERMS
-from helpers import HAND_IN, NOW, floor, pull, say
+from helpers import pull
+from node_harness import SETTINGS
+from socketless_node import NOW, REQUEST, SocketlessNode, receive
 
 from grebedyke.model.actions import Forward, Throttle
 from grebedyke.model.endpoint_list import EndpointRow
@@ -12,6 +13,7 @@
 from grebedyke.service import configuration
 from grebedyke.service.assembly import paced, parts_of
 from grebedyke.service.reload import reload
+from grebedyke.wire.client_listener import ListenerSettings
 
 
 @pytest.mark.parametrize(
@@ -28,35 +30,37 @@
 )
 def test_an_operation_is_found_by_whatever_name_the_settings_give_it(name, path, header):
     # Names were read as Latin-1: every invocation of such an operation was answered 404.
-    node = floor()
-    node.door.tune({name: 40_000}, 60_000)
-    head = HAND_IN.replace(b"/op/", b"/" + path + b"/")
+    node = SocketlessNode()
+    node.listener.apply_settings(ListenerSettings({name: 40_000}, 60_000))
+    head = REQUEST.replace(b"/op/", b"/" + path + b"/")
     if header:
         head = head.replace(b"X-Timeout", b"X-Priority-Class: " + header + b"\r\nX-Timeout")
-    say(node.client(), head.replace(b"X-Timeout", b"X-Tenant-Id: M\xc3\xa1tra\r\nX-Timeout"))
-    node.loop.go()
-    assert [x[2:4] for x in node.told.heard if x[0] == "taken"] == [(name, "Mátra")]
+    receive(node.client(), head.replace(b"X-Timeout", b"X-Tenant-Id: M\xc3\xa1tra\r\nX-Timeout"))
+    node.run()
+    assert [(x.operation, x.tenant) for x in node.dispatcher.events if isinstance(x, RequestArrived)] == [
+        (name, "Mátra")
+    ]
     node.forward()
-    assert node.lines[0].transport.written.startswith(b"POST /" + path + b"/k?q=1 HTTP/1.1\r\n")
+    assert node.connections[0].transport.written.startswith(b"POST /" + path + b"/k?q=1 HTTP/1.1\r\n")
 
 
 @pytest.mark.parametrize("odd", (b"\n", b"\r", b"\0", b"\t", b"\x7f", b"\x1b"))
 def test_control_bytes_in_a_target_do_not_reach_an_executors_line(odd):
-    node = floor()
-    client = say(node.client(), HAND_IN.replace(b"/op/k", b"/op/k" + odd + b"X:y"))
-    node.loop.go()
+    node = SocketlessNode()
+    client = receive(node.client(), REQUEST.replace(b"/op/k", b"/op/k" + odd + b"X:y"))
+    node.run()
     assert client.transport.written.startswith(b"HTTP/1.1 400") and not node.desk.owed
 
 
 def test_clients_that_go_on_with_a_longer_time_are_taken_and_answered_by_the_shorter():
     # After a reload that shortened it they were answered 400, an error, until they had heard of it.
-    node = floor()
-    node.door.tune({"op": 20_000}, 60_000)
+    node = SocketlessNode()
+    node.listener.apply_settings(ListenerSettings({"op": 20_000}, 60_000))
     for wait, taken in ((4000, True), (4001, False), (2000, True), (1500, True)):
-        node.told.heard.clear()
-        client = say(node.client(), HAND_IN.replace(b"r1", b"r%d" % wait).replace(b"4000", b"%d" % wait))
-        node.loop.go()
-        assert [x[4] for x in node.told.heard if x[0] == "taken"] == (
+        node.dispatcher.events.clear()
+        client = receive(node.client(), REQUEST.replace(b"r1", b"r%d" % wait).replace(b"4000", b"%d" % wait))
+        node.run()
+        assert [x.deadline for x in node.dispatcher.events if isinstance(x, RequestArrived)] == (
             [NOW + min(wait * 10, 20_000) - node.desk.margin] if taken else []
         ), wait
         assert client.transport.written.startswith(b"HTTP/1.1 400") == (not taken)
@@ -64,9 +68,9 @@
 
 def test_a_longer_tick_does_not_send_again_beside_a_forward_whose_time_is_over():
     terms = {
-        **TERMS,
+        **SETTINGS,
         "tickMs": 2,
-        "operations": [{**TERMS["operations"][0], "idempotency": "safe", "latencyObjectiveMs": 20_000}],
+        "operations": [{**SETTINGS["operations"][0], "idempotency": "safe", "latencyObjectiveMs": 20_000}],
     }
     d = configuration.open_dispatcher("1", configuration.terms(orjson.loads(orjson.dumps(terms))))
     listed = [EndpointRow(f"s-{i}", "a", "m", 0, "healthy", 0, 1) for i in range(3)]
@@ -87,11 +91,11 @@
     terms = paced(
         configuration.terms(
             {
-                **TERMS,
+                **SETTINGS,
                 "tickMs": tick,
                 "operations": [
-                    TERMS["operations"][0],
-                    {**TERMS["operations"][0], "name": "b", "clientTimeoutMs": shortest},
+                    SETTINGS["operations"][0],
+                    {**SETTINGS["operations"][0], "name": "b", "clientTimeoutMs": shortest},
                 ],
             }
         )
