--- a/benchmarks/peer_traffic.py
+++ b/benchmarks/peer_traffic.py
@@ -69,19 +69,13 @@
         return [self._limit(index) for index in range(self.limit_count)]
 
     def _limit(self, index):
-        name, operation = f"l{index}", f"op{index}"
+        name = f"l{index}"
+        operation = f"op{index}"
         if index % 2:
-            return Limit(
-                name,
-                LimitKind.RATE,
-                100_000 * self.node_count,
-                4 * self.node_count,
-                100,
-                None,
-                operation,
-                False,
-            )
-        return Limit(name, LimitKind.CONCURRENCY, 4 * self.node_count, 0, 1, None, operation, False)
+            size = 100_000 * self.node_count
+            burst = 4 * self.node_count
+            return Limit(name, LimitKind.RATE, size=size, burst=burst, floor=100, operation=operation)
+        return Limit(name, LimitKind.CONCURRENCY, size=4 * self.node_count, floor=1, operation=operation)
 
     def generate_load(self):
         """Offers a request of each limit to each node, four times a second."""
