--- a/grebedyke/testbed/counted_node.py
+++ b/grebedyke/testbed/counted_node.py
@@ -23,7 +23,7 @@
         random: Draws its start times.
         is_running: Always true.
         has_demand: Whether demand has begun.
-        batch_loop: Its `Turn`.
+        batch_loop: Its `BatchLoop`.
         demand: Its `DemandGenerator`.
     """
 
@@ -36,14 +36,14 @@
             instruments: The `Instruments`.
         """
         self.node_id, tenants = settings.nodes[0]
-        self.batch_loop = node.turn
+        self.batch_loop = node.parts.batch
         self.is_running = True
         self.has_demand = False
         self.random = SeededRandom(f"real {settings.seed} {self.node_id}")
         self.probe = instruments.probe(self.node_id)
-        self.probe.attach(node.also, node.peers, node.loop)
-        node.turn.last_look = node.also.expire
-        self.demand = instruments.demand(node.loop, self.probe, node.turn, tenants)
+        self.probe.attach(node.component_host, node.parts.peers, node.parts.loop)
+        node.parts.batch.before_write = node.component_host.expire
+        self.demand = instruments.demand(node.parts.loop, self.probe, node.parts.batch, tenants)
 
     def start(self):
         """Does nothing: it runs."""
@@ -63,13 +63,13 @@
         instruments = Instruments(settings)
         host = CountedNode(node, settings, instruments)
         agent = ProcessAgent(
-            node.loop,
+            node.parts.loop,
             {host.node_id: host},
             instruments.learned_values,
             instruments.admissions,
             settings.folder,
         )
-        tasks.append(asyncio.ensure_future(agent.serve(), loop=node.loop))
+        tasks.append(asyncio.ensure_future(agent.serve(), loop=node.parts.loop))
 
     build = broken_builds.build(settings.broken_build) if settings.broken_build else nullcontext()
     with build:
--- a/grebedyke/testbed/hollow_node.py
+++ b/grebedyke/testbed/hollow_node.py
@@ -17,11 +17,11 @@
 from grebedyke.consensus import framing
 from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.service import configuration
+from grebedyke.service.batch_loop import BatchLoop
 from grebedyke.service.component_host import ComponentHost, NodeAccess
 from grebedyke.service.fleet_assembly import build_components, new_process_id
-from grebedyke.service.log import Gauges
+from grebedyke.service.metrics import Metrics
 from grebedyke.service.record_files import RecordFiles
-from grebedyke.service.turn import Turn
 from grebedyke.testbed import broken_builds
 from grebedyke.testbed.process_agent import BEAT_INTERVAL, ProcessAgent
 from grebedyke.testbed.process_settings import Instruments, ProcessSettings
@@ -33,7 +33,7 @@
 
     Attributes:
         loop: The event loop.
-        gauges: The `Gauges`, which nobody reads.
+        metrics: The `Metrics`, which nobody reads.
         endpoint_rows: The endpoint list.
         beats: The newest times of the shared beat, by which each node knows that the process stood still.
         instruments: The `Instruments`.
@@ -43,15 +43,15 @@
     def __init__(self, loop, settings):
         """Begins without a beat; `settings` is the `ProcessSettings`."""
         self.loop = loop
-        self.gauges = Gauges()
+        self.metrics = Metrics()
         self.endpoint_rows = [tuple(row) for row in settings.endpoint_rows]
-        self.beats = deque([Turn.clock()] * 3, 3)
+        self.beats = deque([BatchLoop.clock()] * 3, 3)
         self.instruments = Instruments(settings)
         self.seed = settings.seed
 
     def beat(self):
         """Notes the time from now on, again and again."""
-        self.beats.append(Turn.clock())
+        self.beats.append(BatchLoop.clock())
         self.loop.call_later(BEAT_INTERVAL, self.beat)
 
 
@@ -64,7 +64,7 @@
         random: Draws its start times.
         is_running: Whether it runs.
         has_demand: Whether demand is to begin with its next start.
-        batch_loop: Its `Turn`.
+        batch_loop: Its `BatchLoop`.
         demand: Its `DemandGenerator`.
     """
 
@@ -82,8 +82,8 @@
         self.random = SeededRandom(f"hollow {shared.seed} {node_id}")
         self.is_running = False
         self.has_demand = False
-        self.batch_loop = Turn(shared.loop, shared.gauges)
-        self.batch_loop.decide = lambda now: None
+        self.batch_loop = BatchLoop(shared.loop, shared.metrics)
+        self.batch_loop.next_action = lambda now: None
         self.demand = shared.instruments.demand(shared.loop, self.probe, self.batch_loop, tenants)
         self._shared = shared
         self._configuration = node_configuration
@@ -101,7 +101,7 @@
         self._start_count += 1
         self._build()
         self._peers.set_peers(self._configuration["peers"], self.node_id)
-        self.batch_loop.put(self._host.endpoints_changed, True, self._shared.endpoint_rows)
+        self.batch_loop.enqueue(self._host.endpoints_changed, True, self._shared.endpoint_rows)
         self._host.start(False)
         self.is_running = True
         if self.has_demand:
@@ -110,9 +110,9 @@
     def _build(self):
         """Puts the parts of a process together and connects them."""
         shared = self._shared
-        batch_loop = Turn(shared.loop, shared.gauges)
+        batch_loop = BatchLoop(shared.loop, shared.metrics)
         # All nodes have one event loop: a stall of it is one of all, and one beat tells them.
-        batch_loop.marks = shared.beats
+        batch_loop.pass_times = shared.beats
         self.batch_loop = batch_loop
         self.demand.batch_loop = batch_loop
         process = new_process_id()
@@ -130,9 +130,9 @@
         )
         self.probe.attach(host, peers, shared.loop)
         peers.on_message = host.receive_datagram
-        batch_loop.decide = host.next_action
-        batch_loop.last_look = host.expire
-        batch_loop.carry = lambda now, decision: host.perform(now, *decision)
+        batch_loop.next_action = host.next_action
+        batch_loop.before_write = host.expire
+        batch_loop.carry_out = lambda now, decision: host.perform(now, *decision)
         self._peers = peers
         self._host = host
 
@@ -154,7 +154,7 @@
         self.demand.stop()
         self._peers.set_peers([], 0)
         self._host.is_started = False
-        self.batch_loop.limits.clear()
+        self.batch_loop.timers.clear()
         self._host.close()
 
 
--- a/tests/socketless_node.py
+++ b/tests/socketless_node.py
@@ -4,9 +4,10 @@
 
 from grebedyke.model.actions import Forward
 from grebedyke.model.events import AttemptEnded
-from grebedyke.service.desk import Desk
-from grebedyke.service.log import Gauges
-from grebedyke.service.turn import Turn
+from grebedyke.service.batch_loop import BatchLoop
+from grebedyke.service.dispatcher_host import DispatcherHost
+from grebedyke.service.metrics import Metrics
+from grebedyke.service.request_settings import RequestSettings
 from grebedyke.wire.client_connection import ClientConnection
 from grebedyke.wire.client_listener import ClientListener, ListenerSettings
 from grebedyke.wire.connection_table import ConnectionLimits
@@ -22,6 +23,15 @@
     b"Content-Length: 3\r\n\r\nabc"
 )
 
+REQUEST_SETTINGS = RequestSettings(
+    max_attempts=5,
+    max_open_requests=100,
+    probe_path=b"/alive",
+    response_timeout=5_000,
+    response_margin=200,
+    scheduling_interval=50,
+)
+
 
 def request(number):
     """Returns the bytes of a client's request with the identifier `r` and that number."""
@@ -152,9 +162,9 @@
 
 def frozen_batches(loop):
     """Returns batches whose clock stands still: a slow machine must not change what is tested."""
-    batches = Turn(loop, Gauges())
+    batches = BatchLoop(loop, Metrics())
     batches.clock = lambda: NOW
-    batches.marks.extend([NOW] * 3)
+    batches.pass_times.extend([NOW] * 3)
     return batches
 
 
@@ -164,9 +174,9 @@
     Attributes:
         loop: The `FakeEventLoop`.
         dispatcher: The `RecordingDispatcher`.
-        turn: The node's batches.
+        batch: The node's batches.
         pool: The `ExecutorPool`.
-        desk: The node's request table.
+        host: Hosts the dispatcher.
         listener: The `ClientListener`.
         connections: The idle connections to s-1 and s-2.
     """
@@ -174,24 +184,24 @@
     def __init__(self, max_connections=9, max_executor_connections=9, max_requesters=99):
         self.loop = FakeEventLoop()
         self.dispatcher = RecordingDispatcher()
-        self.turn = frozen_batches(self.loop)
+        self.batch = frozen_batches(self.loop)
         self.pool = ExecutorPool(
-            self.loop, self.turn, PoolSettings(1_000_000, 2_500), max_executor_connections
+            self.loop, self.batch, PoolSettings(1_000_000, 2_500), max_executor_connections
         )
         self.pool.duplicate_window = 0  # at a clock that stands still it would never be over
-        self.desk = Desk(
-            self.dispatcher, self.turn, self.pool, self.turn.gauges, 5, 100, b"/alive", 5_000, 200, 50
+        self.host = DispatcherHost(
+            self.dispatcher, self.batch, self.pool, self.batch.metrics, REQUEST_SETTINGS
         )
         self.listener = ClientListener(
-            self.turn,
+            self.batch,
             ListenerSettings({"op": 40_000}, 60_000),
             ConnectionLimits(max_connections, max_requesters),
-            on_request=self.desk.take,
-            on_job_update=self.desk.news,
-            on_client_left=self.desk.left,
+            on_request=self.host.requests.accept,
+            on_job_update=self.host.job_updates.on_update,
+            on_client_left=self.host.requests.client_left,
         )
-        self.turn.decide = self.dispatcher.next_action
-        self.turn.carry = self.desk.do
+        self.batch.next_action = self.dispatcher.next_action
+        self.batch.carry_out = self.host.perform
         address = ("127.0.0.9", 1)
         self.pool.update_endpoints(
             True, [EndpointAddress(name, address, HEALTHY, 0) for name in ("s-1", "s-2")]
@@ -227,7 +237,7 @@
 
     def act(self, action, now=NOW):
         """Carries out an action of the dispatcher's, and runs the batches that are due then."""
-        self.desk.do(now, action)
+        self.host.perform(now, action)
         self.run()
 
     def forward(self, name="s-1", allowed=9_000):
