--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -332,13 +332,13 @@
     def change():
         i = len(made) % len(value)
         made.append(i)
-        giver.parts[0].propose(
+        giver.components[0].propose(
             giver.clock(),
             "configuration",
             lambda old: ({**(old or value), f"key {i}": f"{len(made):040}"}, True),
             lambda now, result: None,
         )
-        giver.pull()
+        giver.run_components()
         world.schedule(wait, change)
 
     change()
