--- a/grebedyke/testbed/broken_builds.py
+++ b/grebedyke/testbed/broken_builds.py
@@ -1,9 +1,13 @@
-"""Builds that are broken on purpose, one fault each: what judges has to catch every one of them.
+"""Builds that are broken on purpose, one fault each: the checkers have to catch every one of them.
 
-Each is a list of (class, name, what stands there instead). None is ever used by a node.
+None is ever used by a node. `BUILDS` are faults of consensus and maintenance, `LIMITS` of the fleet's limits;
+those of `SCALE` keep every promise but cost many times what they should. Their names are what the command
+line takes.
 """
 
+from collections.abc import Callable
 from contextlib import contextmanager
+from typing import Any, NamedTuple
 
 from grebedyke import errors
 from grebedyke.consensus import acceptor, messages, proposer, records
@@ -28,8 +32,35 @@
 from grebedyke.rate_limits.share_client import ShareClient
 from grebedyke.rate_limits.token_bucket import TokenBucket
 
+# The correct code, which some replacements call.
+_admit_correctly = acceptor.Acceptor.admit
+_take_lease_answer_correctly = Maintenance.lease_answered
+_restore_correctly = Recovery.restore
+_confirm_machine_back_correctly = commands.confirm_machine_back
+_answer_lease_request_correctly = Maintenance.answer_lease_request
+_start_request_correctly = ViewLease.start_request
+_receive_grant_correctly = ShareClient.receive_grant
+_begin_table_correctly = AllocationTable.__init__
+_begin_bucket_correctly = TokenBucket.__init__
+_request_if_due_correctly = ShareClient.request_if_due
+
+
+class Patch(NamedTuple):
+    """What a broken build has in place of the correct code.
+
+    Attributes:
+        owner: The class or module.
+        attribute: The name of what is replaced.
+        replacement: What stands there instead.
+    """
+
+    owner: Any
+    attribute: str
+    replacement: Callable | Any
+
 
 def answer_at_once(self, node, answer):
+    """An answer is sent before the vote is on disk."""
     self.consensus.send_message(node, answer.message)
     if answer.needs_persisting:
         self.mark_dirty()
@@ -39,7 +70,7 @@
     """The lease counts from when the answer came."""
     if answer.number in self.lease.pending_requests:
         self.lease.pending_requests[answer.number].sent_at = now
-    honest["lease_answered"](self, now, sender, answer)
+    _take_lease_answer_correctly(self, now, sender, answer)
 
 
 def lease_for_any_revision(self, now, sender, request):
@@ -55,7 +86,7 @@
     except errors.CorruptRecordError:
         known = None
     if known or self.acceptor.node_id not in self.founders:
-        return honest["restore"](self, now, data)
+        return _restore_correctly(self, now, data)
     self.next_query_at = now
     self.acceptor.phase = acceptor.Phase.VOTING
     self.acceptor.incarnation = Incarnation(1, 1)
@@ -69,70 +100,61 @@
     if status is not None and status.state in (MachineState.FREE, MachineState.FAILED):
         back = rollout.with_machine(name, MachineState.BACK)
         return commands.CommandResult(back, f"{name}: {MachineState.BACK}")
-    return honest["confirm_machine_back"](rollout, name, number)
+    return _confirm_machine_back_correctly(rollout, name, number)
 
 
 def no_quorum_of_incarnations(votes, quorum_size):
+    """Votes count whichever incarnations of the others they know."""
     return votes if len(votes) >= quorum_size else None
 
 
 def without_vote_counts(self, node, incarnation):
     """Only which incarnation each of the others is in."""
-    answer = honest["admit"](self, node, incarnation)
+    answer = _admit_correctly(self, node, incarnation)
     if not isinstance(answer.message, messages.RejoinState):
         return answer
     return answer._replace(message=answer.message._replace(vote_count=0, vote_counts={}))
 
 
-honest = {
-    "admit": acceptor.Acceptor.admit,
-    "lease_answered": Maintenance.lease_answered,
-    "restore": Recovery.restore,
-    "confirm_machine_back": commands.confirm_machine_back,
-}
-
 BUILDS = {
-    "a vote is answered before it is kept": [(VoteStore, "answer", answer_at_once)],
-    "half is taken for a majority": [(Round, "quorum_size", lambda self: max(len(self.members) // 2, 1))],
+    "a vote is answered before it is kept": [Patch(VoteStore, "answer", answer_at_once)],
+    "half is taken for a majority": [
+        Patch(Round, "quorum_size", lambda self: max(len(self.members) // 2, 1))
+    ],
     "a lease is reckoned from the answer": [
-        (Maintenance, "lease_answered", lease_from_the_answer),
+        Patch(Maintenance, "lease_answered", lease_from_the_answer),
     ],
     "no drift": [
-        (MaintenanceSettings, "lease_bound", lambda self: int(self.lease * (1 - 2 * self.drift))),
+        Patch(MaintenanceSettings, "lease_bound", lambda self: int(self.lease * (1 - 2 * self.drift))),
     ],
-    "numbers are not compared": [(commands, "confirm_machine_back", back_by_any_number)],
-    "a spoilt file is taken for a new member's": [(Recovery, "restore", as_a_new_member)],
-    "back is taken for warm": [(Observations, "is_warmed_up", lambda self, now, key: True)],
+    "numbers are not compared": [Patch(commands, "confirm_machine_back", back_by_any_number)],
+    "a spoilt file is taken for a new member's": [Patch(Recovery, "restore", as_a_new_member)],
+    "back is taken for warm": [Patch(Observations, "is_warmed_up", lambda self, now, key: True)],
     "losses without a plan are not counted": [
-        (observations, "unplanned_losses", lambda rollout, endpoints: UnplannedLosses()),
+        Patch(observations, "unplanned_losses", lambda rollout, endpoints: UnplannedLosses()),
     ],
     "a lease is given to whoever asks": [
-        (Maintenance, "lease_requested", lease_for_any_revision),
+        Patch(Maintenance, "lease_requested", lease_for_any_revision),
     ],
     "who is not sure uses what waits": [
-        (exclusions, "EXCLUDED_STATES_WHEN_UNSURE", exclusions.EXCLUDED_STATES),
+        Patch(exclusions, "EXCLUDED_STATES_WHEN_UNSURE", exclusions.EXCLUDED_STATES),
     ],
-    "votes of past lives count": [(proposer, "consistent_votes", no_quorum_of_incarnations)],
+    "votes of past lives count": [Patch(proposer, "consistent_votes", no_quorum_of_incarnations)],
     "who is let in again does not hear how far the others are": [
-        (acceptor.Acceptor, "admit", without_vote_counts)
+        Patch(acceptor.Acceptor, "admit", without_vote_counts)
     ],
-    "who has just begun uses all": [(Maintenance, "has_no_view", lambda self: False)],
+    "who has just begun uses all": [Patch(Maintenance, "has_no_view", lambda self: False)],
 }
 
 
 # Limits.
 
-_receive_grant = ShareClient.receive_grant
-_begin_table = AllocationTable.__init__
-_begin_bucket = TokenBucket.__init__
-_request_if_due = ShareClient.request_if_due
-
 
 def share_from_the_answer(self, now, grant):
     """A share's lease begins when its grant arrives instead of when it was requested."""
     if grant.number in self._pending:
         self._pending[grant.number] = now
-    _receive_grant(self, now, grant)
+    _receive_grant_correctly(self, now, grant)
 
 
 def add_share(self, now, share, expires_at):
@@ -158,7 +180,7 @@
 
 def forget_what_runs_on(self, kind, total, floor, times):
     """What a dead node sent is taken as ended when its last grant has."""
-    _begin_table(self, kind, total, floor, times._replace(run_on=0))
+    _begin_table_correctly(self, kind, total, floor, times._replace(run_on=0))
 
 
 def keep_former_limit(self, *arguments):
@@ -172,7 +194,7 @@
 
 def begin_with_full_bucket(self, limit, terms, now):
     """A process begins with its part of the burst."""
-    _begin_bucket(self, limit, terms, now)
+    _begin_bucket_correctly(self, limit, terms, now)
     self.tokens = limit.burst / terms.node_count
 
 
@@ -182,38 +204,38 @@
 
 
 LIMITS = {
-    "a share is reckoned from the answer": [(ShareClient, "receive_grant", share_from_the_answer)],
+    "a share is reckoned from the answer": [Patch(ShareClient, "receive_grant", share_from_the_answer)],
     "no drift in shares": [
-        (
+        Patch(
             LeaseTerms,
             "grant_bound",
             lambda self: duration_without_drift(self.lease, self.clock_drift),
         ),
-        (
+        Patch(
             LeaseTerms,
             "takeover_wait",
             lambda self, kind=None: duration_without_drift(2 * self.lease, self.clock_drift),
         ),
     ],
-    "floors are not counted": [(definitions, "grantable_amount", lambda size, floor, node_count: size)],
-    "a new holder does not wait": [(LeaseTerms, "takeover_wait", lambda self, kind=None: 0)],
+    "floors are not counted": [Patch(definitions, "grantable_amount", lambda size, floor, node_count: size)],
+    "a new holder does not wait": [Patch(LeaseTerms, "takeover_wait", lambda self, kind=None: 0)],
     "a holder whose place has ended grants on": [
-        (HolderElection, "is_certain_holder", lambda self, now: self.is_holder())
+        Patch(HolderElection, "is_certain_holder", lambda self, now: self.is_holder())
     ],
     "a grant that comes again is added": [
-        (LimitMeter, "receive_share", add_share),
-        (TokenBucket, "receive_share", add_share_to_bucket),
+        Patch(LimitMeter, "receive_share", add_share),
+        Patch(TokenBucket, "receive_share", add_share_to_bucket),
     ],
     "a shrunk limit is not withdrawn": [
-        (LeaseHolder, "update_tables", keep_former_limit),
-        (LimitMeter, "change_limit", keep_former_limit),
+        Patch(LeaseHolder, "update_tables", keep_former_limit),
+        Patch(LimitMeter, "change_limit", keep_former_limit),
     ],
-    "the newest grant is taken as received": [(Allocation, "recompute_charge", charge_for_newest_grant)],
-    "what a dead node sent is taken as ended": [(AllocationTable, "__init__", forget_what_runs_on)],
+    "the newest grant is taken as received": [Patch(Allocation, "recompute_charge", charge_for_newest_grant)],
+    "what a dead node sent is taken as ended": [Patch(AllocationTable, "__init__", forget_what_runs_on)],
     "a node's own slots are used from its first moment": [
-        (ConcurrencyLimiter, "has_capacity", use_floor_at_once)
+        Patch(ConcurrencyLimiter, "has_capacity", use_floor_at_once)
     ],
-    "a bucket begins full": [(TokenBucket, "__init__", begin_with_full_bucket)],
+    "a bucket begins full": [Patch(TokenBucket, "__init__", begin_with_full_bucket)],
 }
 
 
@@ -223,55 +245,53 @@
 def answered_to_all(self, node, request, granted):
     """A voter's answer goes to every node instead of to the one that asked."""
     for each in range(self.node_count):
-        honest["answer_lease_request"](self, each, request, granted)
+        _answer_lease_request_correctly(self, each, request, granted)
 
 
-def requests_kept_for_ever(self, now, number, revision):
+def requests_never_dropped(self, now, number, revision):
     """Lease requests that are too old to count are not dropped."""
     pending_requests = dict(self.pending_requests)
-    honest["start_request"](self, now, number, revision)
+    _start_request_correctly(self, now, number, revision)
     self.pending_requests = {**pending_requests, **self.pending_requests}
 
 
 def request_again_at_once(self, now, voters):
     """Whoever has had no answer 2 ms later requests again, and again."""
     if now >= self.next_request_at:
-        _request_if_due(self, now, voters)
+        _request_if_due_correctly(self, now, voters)
         self.next_request_at = now + 20
 
 
 def request_when_due_once_answered(self, now, grant):
     """Only an answer ends that."""
-    _receive_grant(self, now, grant)
+    _receive_grant_correctly(self, now, grant)
     self.next_request_at = now + self._lease // 3
 
 
-honest |= {
-    "answer_lease_request": Maintenance.answer_lease_request,
-    "start_request": ViewLease.start_request,
-}
-
 SCALE = {
     "an answer to all instead of to one": [
-        (Maintenance, "answer_lease_request", answered_to_all),
+        Patch(Maintenance, "answer_lease_request", answered_to_all),
     ],
-    "asks are never dropped": [(ViewLease, "start_request", requests_kept_for_ever)],
+    "asks are never dropped": [Patch(ViewLease, "start_request", requests_never_dropped)],
     "asked again without back-off": [
-        (ShareClient, "request_if_due", request_again_at_once),
-        (ShareClient, "receive_grant", request_when_due_once_answered),
+        Patch(ShareClient, "request_if_due", request_again_at_once),
+        Patch(ShareClient, "receive_grant", request_when_due_once_answered),
     ],
 }
 
 
 @contextmanager
 def build(name):
-    """Within it that build is the one that runs."""
-    changes = (BUILDS | LIMITS | SCALE)[name]
-    before = [(where, attribute, getattr(where, attribute)) for where, attribute, _ in changes]
+    """Has the broken build of that name run within a `with` statement."""
+    patches = (BUILDS | LIMITS | SCALE)[name]
+    correct = [patch._replace(replacement=getattr(patch.owner, patch.attribute)) for patch in patches]
     try:
-        for where, attribute, instead in changes:
-            setattr(where, attribute, instead)
+        _apply(patches)
         yield
     finally:
-        for where, attribute, was in before:
-            setattr(where, attribute, was)
+        _apply(correct)
+
+
+def _apply(patches):
+    for patch in patches:
+        setattr(patch.owner, patch.attribute, patch.replacement)
--- a/grebedyke/testbed/hollow_node.py
+++ b/grebedyke/testbed/hollow_node.py
@@ -49,10 +49,10 @@
         self.instruments = Instruments(settings)
         self.seed = settings.seed
 
-    def beat(self):
+    def note_time(self):
         """Notes the time from now on, again and again."""
         self.beats.append(Turn.clock())
-        self.loop.call_later(BEAT_INTERVAL, self.beat)
+        self.loop.call_later(BEAT_INTERVAL, self.note_time)
 
 
 class HollowNode:
@@ -174,7 +174,7 @@
         hosts[node_id] = HollowNode(shared, node_id, node_configuration, tenants)
     instruments = shared.instruments
     agent = ProcessAgent(loop, hosts, instruments.learned_values, instruments.admissions, settings.folder)
-    shared.beat()
+    shared.note_time()
     agent.loop_lag.measure()
     await agent.serve()
 
--- a/grebedyke/testbed/instrumentation.py
+++ b/grebedyke/testbed/instrumentation.py
@@ -30,12 +30,12 @@
     """The values that the nodes of one process have learnt as agreed on: each reported once.
 
     Attributes:
-        news: [node, key, ballot, value] of each value that was not reported yet.
+        unreported: [node, key, ballot, value] of each value that was not reported yet.
         contradictions: A line for each node that has learnt another value than others, not reported yet.
     """
 
     def __init__(self):
-        self.news = []
+        self.unreported = []
         self.contradictions = []
         self._values = {}
 
@@ -45,18 +45,18 @@
         if known is None:
             known = (value, crc32(msgpack.packb(value)))
             self._values[key, ballot] = known
-            self.news.append([node, key, ballot, value])
+            self.unreported.append([node, key, ballot, value])
         elif known[0] is not value and known[0] != value:
             self.contradictions.append(f"node {node} has another {key} under {ballot} than others")
         return known[1]
 
-    def take_news(self):
+    def take_unreported(self):
         """Returns and forgets the values and the contradictions that were not reported yet."""
-        news = self.news
+        values = self.unreported
         contradictions = self.contradictions
-        self.news = []
+        self.unreported = []
         self.contradictions = []
-        return news, contradictions
+        return values, contradictions
 
 
 class NodeProbe:
@@ -137,6 +137,7 @@
 
     def _counting_sender(self, send, loop):
         def counting_send(receiver, body):
+            """Counts a datagram, and sends it unless it is to be lost."""
             self.counts[0] += 1
             self.counts[1] += len(body)
             if receiver in self.unreachable_nodes:
@@ -152,6 +153,7 @@
 
     def _counting_receiver(self, receive):
         def counting_receive(data, address):
+            """Counts a datagram and passes it on."""
             self.counts[2] += 1
             self.counts[3] += len(data)
             receive(data, address)
@@ -160,6 +162,7 @@
 
     def _counting_performer(self, perform):
         def counting_perform(now, component, action):
+            """Counts a message and carries the action out."""
             if isinstance(action, SendMessage):
                 kind = action.message[0]
                 self.sent_kinds[kind] += 1
@@ -182,6 +185,7 @@
 
     def _timed(self, call):
         def timed_call(*arguments):
+            """Calls and counts the time; calls within another one are counted once."""
             if self._is_timing:
                 return call(*arguments)
             self._is_timing = True
--- a/grebedyke/testbed/invariant_checker.py
+++ b/grebedyke/testbed/invariant_checker.py
@@ -15,7 +15,7 @@
 from grebedyke.testbed.violations import TimedViolation
 from grebedyke.units import TICKS_PER_SECOND
 
-# How often all processes are asked, and how often progress is told, in seconds.
+# How often all processes are asked, and how often progress is shown, in seconds.
 LOOK_INTERVAL = 0.5
 PROGRESS_INTERVAL = 5
 # Kinds of messages: requests, and what answers them.
@@ -56,14 +56,14 @@
         state: One line on how many nodes are up and agree.
     """
 
-    def __init__(self, layout, limits, command_all, say):
+    def __init__(self, layout, limits, command_all, show_progress):
         """Begins with nothing seen.
 
         Args:
             layout: The `FleetLayout`.
             limits: The `TenantLimit` of each tenant.
             command_all: Coroutine function that has a command carried out in all processes.
-            say: Called with lines of progress.
+            show_progress: Called with lines of progress.
         """
         self.violations = []
         self.values = {}
@@ -74,7 +74,7 @@
         self._layout = layout
         self._limits = limits
         self._command_all = command_all
-        self._say = say
+        self._show_progress = show_progress
         self._started_at = time.monotonic()
         self._progress_at = 0.0
         self._specification = RolloutSpecification(layout.settings.executors, layout.voters)
@@ -117,28 +117,28 @@
         known = Counter()
         ready = 0
         alive = 0
-        news = []
-        for answer in await self._command_all("tell"):
+        values = []
+        for answer in await self._command_all("report"):
             known.update(answer["known"])
             ready += answer["ready"]
             alive += answer["alive"]
-            news += answer["news"]
+            values += answer["values"]
             for detail in answer["contradictions"]:
                 self.report("one value", detail)
             for tenant, span, change, count in answer["admissions"]:
                 self.admissions[span, change, tenant] += count
-        for node, key, ballot, value in sorted(news, key=lambda row: (row[1], row[2])):
+        for node, key, ballot, value in sorted(values, key=lambda row: (row[1], row[2])):
             self.value_learned(node, key, tuple(ballot), value)
         self.state = f"{alive} of {node_count} up, {ready} ready, {len(known)} stories"
-        self._tell_progress()
+        self._report_progress()
         return alive == ready == node_count and len(known) == 1
 
-    def _tell_progress(self):
+    def _report_progress(self):
         now = time.monotonic()
         if now > self._progress_at + PROGRESS_INTERVAL:
             self._progress_at = now
             seconds = now - self._started_at
-            self._say(f"{seconds:.0f} s: {self.state}, {len(self.values)} values agreed on")
+            self._show_progress(f"{seconds:.0f} s: {self.state}, {len(self.values)} values agreed on")
 
     def value_learned(self, node, key, ballot, value):
         """Checks a value that a node has learnt as agreed on under a ballot."""
--- a/grebedyke/testbed/launcher.py
+++ b/grebedyke/testbed/launcher.py
@@ -125,7 +125,7 @@
     rate = settings.get("rate", 1.0)
     epoch = settings.get("began") or time.monotonic_ns()
     disk = settings.get("disk")
-    _shift_wall_clock(settings.get("wall", 0.0))
+    _change_wall_clock(settings.get("wall", 0.0))
     ScaledClockLoop.rate = rate
     ScaledClockLoop.epoch = epoch / NANOSECONDS_PER_SECOND
     asyncio.set_event_loop_policy(ScaledClockPolicy())
@@ -148,7 +148,7 @@
     return start.node_of(os.environ, "INFO", False, "json", assemble)
 
 
-def _shift_wall_clock(seconds):
+def _change_wall_clock(seconds):
     if seconds:
         true_time_ns = time.time_ns
         time.time_ns = lambda: true_time_ns() + int(seconds * NANOSECONDS_PER_SECOND)
--- a/grebedyke/testbed/memory_census.py
+++ b/grebedyke/testbed/memory_census.py
@@ -67,7 +67,7 @@
     def __init__(self):
         self.entries = Counter()
         self.containers = Counter()
-        self._seen = set()
+        self._walked = set()
 
     def walk(self, path, reached):
         """Counts all containers that are reached from an object at this path."""
@@ -77,14 +77,14 @@
             for entry in reached.values() if isinstance(reached, dict) else reached:
                 self.walk(path, entry)
         elif self._is_explored(reached):
-            self._seen.add(id(reached))
+            self._walked.add(id(reached))
             for name, value in _attributes(reached).items():
                 self.walk(f"{path}.{name}", value)
 
     def _is_explored(self, reached):
         is_own = type(reached).__module__.startswith("grebedyke.") and not isinstance(reached, NodeProbe)
         is_leaf = isinstance(reached, (types.FunctionType, type, tuple))
-        return is_own and not is_leaf and id(reached) not in self._seen
+        return is_own and not is_leaf and id(reached) not in self._walked
 
 
 def _attributes(instance):
--- a/grebedyke/testbed/process_agent.py
+++ b/grebedyke/testbed/process_agent.py
@@ -143,7 +143,7 @@
         gc.freeze()
         return {}
 
-    def do_tell(self):
+    def do_report(self):
         """Returns what is checked: values, admissions, and where each node stands."""
         known = Counter()
         ready = 0
@@ -153,14 +153,14 @@
                 alive += 1
                 known[orjson.dumps(sorted(host.probe.known_checksums.items())).decode()] += 1
                 ready += host.probe.has_all_permissions(host.batch_loop.clock())
-        news, contradictions = self._learned_values.take_news()
+        values, contradictions = self._learned_values.take_unreported()
         admissions = [[*key, count] for key, count in self._admissions.items()]
         self._admissions.clear()
         return {
             "known": known,
             "ready": ready,
             "alive": alive,
-            "news": news,
+            "values": values,
             "contradictions": contradictions,
             "admissions": admissions,
         }
--- a/grebedyke/testbed/scale_measurement.py
+++ b/grebedyke/testbed/scale_measurement.py
@@ -106,7 +106,7 @@
         )
         self.windows[name] = window
         late = f"the loop late by {window.lag_ms:.0f} ms at most"
-        self._run.say(f"{name}: {window.seconds:.0f} s counted, {late}")
+        self._run.show_progress(f"{name}: {window.seconds:.0f} s counted, {late}")
 
 
 def _usages(child, before, now, weights, known_roles):
--- a/grebedyke/testbed/scale_run.py
+++ b/grebedyke/testbed/scale_run.py
@@ -51,7 +51,7 @@
     Attributes:
         settings: The `ScaleSettings`.
         layout: The `FleetLayout`.
-        say: Called with lines of progress.
+        show_progress: Called with lines of progress.
         children: Each `ChildProcess`.
         child_of: The `ChildProcess` of each node.
         checker: The `InvariantChecker`.
@@ -61,14 +61,14 @@
         down_nodes: Numbers of the nodes that were killed and not started again.
     """
 
-    def __init__(self, settings, say=lambda text: None):
+    def __init__(self, settings, show_progress=lambda text: None):
         self.settings = settings
         self.layout = FleetLayout(settings)
-        self.say = say
+        self.show_progress = show_progress
         self.children = []
         self.child_of = {}
         limits = tenant_limits(self.layout.limits_section())
-        self.checker = InvariantChecker(self.layout, limits, self.command_all, say)
+        self.checker = InvariantChecker(self.layout, limits, self.command_all, show_progress)
         self.measurement = Measurement(self)
         self.operators = ScaleOperators(self)
         self.agreement_times = {}
@@ -109,7 +109,9 @@
         # The first voter comes last, see `_begin`; as a hollow node it waits in its process.
         last = self.child_of[0]
         first = [child for child in self.children if not (child is last and child.is_real)]
-        self.say(f"{len(self.children)} processes, {len(self.layout.real_nodes)} of them real nodes")
+        self.show_progress(
+            f"{len(self.children)} processes, {len(self.layout.real_nodes)} of them real nodes"
+        )
         await self._start_children(first)
 
     async def _open_executors(self):
@@ -277,7 +279,7 @@
                 return None
             await asyncio.sleep(AGREEMENT_PAUSE)
         seconds = time.monotonic() - since
-        self.say(f"all {self.settings.nodes} nodes agree {when}, after {seconds:.1f} s")
+        self.show_progress(f"all {self.settings.nodes} nodes agree {when}, after {seconds:.1f} s")
         return seconds
 
     async def _end(self):
@@ -295,17 +297,17 @@
             shutil.rmtree(self._folder, ignore_errors=True)
 
 
-async def play(say=lambda text: None, **settings):
+async def play(show_progress=lambda text: None, **settings):
     """Plays one run, and ends its processes also where it is cancelled.
 
     Args:
-        say: Called with lines of progress.
+        show_progress: Called with lines of progress.
         **settings: Fields of a `ScaleSettings`.
 
     Returns:
         Its result document.
     """
-    run = ScaleRun(ScaleSettings(**settings), say)
+    run = ScaleRun(ScaleSettings(**settings), show_progress)
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
     try:
--- a/grebedyke/testbed/scale_scenes.py
+++ b/grebedyke/testbed/scale_scenes.py
@@ -46,7 +46,7 @@
     holder = await run.lease_holder() or 0
     zones = run.layout.zones
     lost = [node for node in range(run.settings.nodes) if zones[node] == zones[holder]]
-    run.say(f"zone {zones[holder]} is lost: {len(lost)} nodes")
+    run.show_progress(f"zone {zones[holder]} is lost: {len(lost)} nodes")
     await run.kill(lost)
     await run.measurement.measure("while it is lost", run.settings.seconds * PART_AMID)
     await _settle(run, "after the zone is back", partial(run.restart, lost))
@@ -57,7 +57,7 @@
     await run.measurement.measure("before", run.settings.seconds * PART_BEFORE)
     nodes = range(run.settings.nodes)
     sides = [[node for node in nodes if run.layout.zones[node] in region] for region in REGIONS]
-    run.say(f"two regions reach each other no more: {len(sides[0])} nodes, {len(sides[1])} nodes")
+    run.show_progress(f"two regions reach each other no more: {len(sides[0])} nodes, {len(sides[1])} nodes")
     await run.command_all("cut", apart=sides)
     await run.measurement.measure("while they are cut", run.settings.seconds * PART_AMID)
     await _settle(run, "after the cut", partial(run.command_all, "cut", apart=[]))
@@ -67,7 +67,7 @@
     """All nodes are killed at once and started again."""
     await run.measurement.measure("before", run.settings.seconds * PART_BEFORE_RESTART)
     everyone = list(range(run.settings.nodes))
-    run.say("all nodes are killed")
+    run.show_progress("all nodes are killed")
     await run.kill(everyone)
     await asyncio.sleep(RESTART_PAUSE)
     await _settle(run, "after the restart", partial(run.restart, everyone))
--- a/grebedyke/testbed/simulated_limits.py
+++ b/grebedyke/testbed/simulated_limits.py
@@ -240,7 +240,7 @@
         if node.process == process:
             node.components[-1].request_limiter.release(request)
 
-    # What the cluster of maintenance judges.
+    # What a cluster with maintenance checks.
 
     def value_learned(self, node_id, key, value):
         """Judges nothing: there is no maintenance here."""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -45,10 +45,10 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_no_drawn_round_lets_more_through_than_the_limits(seed):
     """Links, processes and disks fail, demand moves and limits change: never more is admitted in all."""
-    violations, world = simulated_limits.play(seed, **SHAPES[seed % len(SHAPES)])
+    violations, cluster = simulated_limits.play(seed, **SHAPES[seed % len(SHAPES)])
     assert not violations
-    assert world.event_counts["went through"] > 1_000 and any(
-        world.event_counts[kind] for kind in simulated_limits.LIMIT_FAULTS
+    assert cluster.event_counts["went through"] > 1_000 and any(
+        cluster.event_counts[kind] for kind in simulated_limits.LIMIT_FAULTS
     )
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -120,7 +120,7 @@
 def five_nodes_checker():
     layout = FleetLayout(ScaleSettings(nodes=5, real=0, executors=2))
     limits = {"a": TenantLimit(LimitKind.RATE, 10.0, 5), "b": TenantLimit(LimitKind.CONCURRENCY, 3, 0)}
-    return InvariantChecker(layout, limits, command_all=None, say=lambda text: None)
+    return InvariantChecker(layout, limits, command_all=None, show_progress=lambda text: None)
 
 
 @pytest.mark.parametrize(
@@ -153,8 +153,8 @@
     first = learned_values.learn(1, "holder", ballot, {"term": 1})
     assert first == learned_values.learn(2, "holder", ballot, {"term": 1})
     learned_values.learn(3, "holder", ballot, {"term": 2})
-    news, contradictions = learned_values.take_news()
-    assert len(news) == 1 and len(contradictions) == 1 and learned_values.take_news() == ([], [])
+    values, contradictions = learned_values.take_unreported()
+    assert len(values) == 1 and len(contradictions) == 1 and learned_values.take_unreported() == ([], [])
     for value in ({"term": 1}, {"term": 1}, {"term": 2}):
         checker.value_learned(4, "holder", ballot, value)
     assert [violation.clause for violation in checker.violations] == ["one value"]
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,4 @@
-"""The fleet's parts in simulated time, under faults; builds broken on purpose, all of them to be caught."""
+"""A simulated cluster under faults; builds that are broken on purpose, all of them to be caught."""
 
 from concurrent.futures import ProcessPoolExecutor
 
@@ -18,10 +18,10 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_no_drawn_round_breaks_an_invariant(seed):
-    found, world = play(seed, **SHAPES[seed % len(SHAPES)])
-    assert not found
+    violations, cluster = play(seed, **SHAPES[seed % len(SHAPES)])
+    assert not violations
     # A round in which nothing happened would say nothing.
-    assert world.event_counts["worked at"] >= 4 and any(world.event_counts[kind] for kind in FAULTS)
+    assert cluster.event_counts["worked at"] >= 4 and any(cluster.event_counts[kind] for kind in FAULTS)
 
 
 def test_rounds_that_once_showed_a_fault_are_played_again():
@@ -55,11 +55,11 @@
 
 
 def test_broken_builds_are_caught_by_drawn_rounds():
-    with ProcessPoolExecutor(4) as beside:
-        assert dict(zip(CAUGHT, beside.map(caught, CAUGHT), strict=True)) == dict.fromkeys(CAUGHT, True)
+    with ProcessPoolExecutor(4) as pool:
+        assert dict(zip(CAUGHT, pool.map(is_caught, CAUGHT), strict=True)) == dict.fromkeys(CAUGHT, True)
 
 
-def caught(name):
-    shape, first = CAUGHT[name]
+def is_caught(name):
+    shape, first_seed = CAUGHT[name]
     with broken_builds.build(name):
-        return any(play(seed, **shape)[0] for seed in range(first, first + 8))
+        return any(play(seed, **shape)[0] for seed in range(first_seed, first_seed + 8))
