--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,10 +1,10 @@
 """Crowds of clients that are silent or idle, and what they leave of a node's descriptors."""
 
 import asyncio
-import resource
 import time
 from contextlib import suppress
 
+import node_files
 import pytest
 from emulators import (
     ACCEPTED,
@@ -15,7 +15,7 @@
     until,
 )
 from socketless_node import REQUEST, SocketlessNode, call_back_message, receive
-from test_signals import program, told
+from test_signals import Program
 
 # Seconds within which a change of the endpoint list counts as known to the node.
 KNOWN_AFTER = 6.0
@@ -143,14 +143,13 @@
         ]
         self.draining = executors[::2]
         self.healthy = executors[1::2]
-        node_file = told(
+        node_file = node_files.node_file(
             discovery=f"{self.listener[0]}:{self.discovery_port}",
             listen="%s:%d" % self.listener,
             limits={"sockets": self.descriptors},
         )
         node_file["known"] = {"index": 1, "endpoints": [executor.row() for executor in executors]}
-        limit = resource.RLIMIT_NOFILE, (self.descriptors, self.descriptors)
-        self.process, _ = program(folder, node_file, preexec_fn=lambda: resource.setrlimit(*limit))
+        self.process = Program(folder, node_file, max_descriptors=self.descriptors).process
         self.reading = asyncio.create_task(
             asyncio.to_thread(lambda: self.log_lines.extend(self.process.stderr))
         )
