--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -14,6 +14,7 @@
     free_port,
     until,
 )
+from node_harness import SETTINGS
 from socketless_node import REQUEST, SocketlessNode, call_back_message, receive
 from test_signals import Program
 
@@ -144,6 +145,7 @@
         self.draining = executors[::2]
         self.healthy = executors[1::2]
         node_file = node_files.node_file(
+            settings=SETTINGS,
             discovery=f"{self.listener[0]}:{self.discovery_port}",
             listen="%s:%d" % self.listener,
             limits={"sockets": self.descriptors},
