--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -9,8 +9,8 @@
 import os
 import sys
 
-from grebedyke.wire import http
 from grebedyke.wire.connection import Connection
+from grebedyke.wire.http_messages import request_head, response_head
 
 
 class Relay:
@@ -44,7 +44,7 @@
         pairs = [(b"X-Request-ID", id)]
         if b"idempotency-key" in headers:
             pairs.append((b"Idempotency-Key", headers[b"idempotency-key"]))
-        head = http.request(method, target, b"%s:%d" % (address[0].encode(), address[1]), pairs, len(body))
+        head = request_head(method, target, b"%s:%d" % (address[0].encode(), address[1]), pairs, len(body))
         if self.idle[address]:
             self.idle[address].pop().send(head, body)
         else:
@@ -61,20 +61,20 @@
         client = self.clients.pop(notice["id"], None)
         if client is not None:
             result = notice.get("result", "").encode()
-            client.send(http.answer(200, len(result), True), result)
+            client.send(response_head(200, len(result), True), result)
 
 
 class ExecutorConnection(Connection):
     """A connection to an executor; it is idle once its request is confirmed."""
 
     def __init__(self, relay, address):
-        super().__init__(relay.touch, answers=True)
+        super().__init__(relay.touch, reads_responses=True)
         self.relay = relay
         self.address = address
 
-    def read(self):
+    def process_input(self):
         """Takes the responses that have come."""
-        while self.parser.next():
+        while self.parser.next_message():
             self.relay.idle[self.address].append(self)
 
     def connection_lost(self, exc):
@@ -90,14 +90,14 @@
         super().__init__(relay.touch)
         self.relay = relay
 
-    def read(self):
+    def process_input(self):
         """Takes the requests that have come."""
-        while message := self.parser.next():
+        while message := self.parser.next_message():
             method, target, headers, body = message
             if target == b"/up":
-                self.send(http.answer(200, 0, True))
+                self.send(response_head(200, 0, True))
             elif target == b"/_jobs/news":
-                self.send(http.answer(204, 0, True))
+                self.send(response_head(204, 0, True))
                 self.relay.on_notice(json.loads(body))
             else:
                 self.relay.forward(self, method, target, headers, body)
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -37,15 +37,16 @@
 from grebedyke.rate_limits.component import RateLimits
 from grebedyke.rate_limits.definitions import Limit, LimitKind, wire_id_of
 from grebedyke.rate_limits.lease_terms import LeaseTerms
-from grebedyke.rig.limited import LimitedRequest
-from grebedyke.rig.world import World, maintenance_settings
+from grebedyke.service.batch_loop import BatchLoop
 from grebedyke.service.configuration import check_settings, open_dispatcher
-from grebedyke.service.log import Gauges
-from grebedyke.service.turn import Turn
+from grebedyke.service.metrics import Metrics
+from grebedyke.testbed.simulated_cluster import SimulatedCluster
+from grebedyke.testbed.simulated_limits import LimitedRequest
+from grebedyke.testbed.simulated_settings import maintenance_settings
 from grebedyke.units import TICKS_PER_SECOND
-from grebedyke.wire import http
-from grebedyke.wire.discovery import entries
-from grebedyke.wire.peers import Peers
+from grebedyke.wire.endpoint_rows import parse_endpoint_rows
+from grebedyke.wire.http_messages import request_head
+from grebedyke.wire.peer_socket import PeerSocket
 
 # As the program has them without further word: fleet.waitMs, maintenance.leaseMs, shares.leaseMs.
 WAIT, LEASE = TICKS_PER_SECOND // 5, 2 * TICKS_PER_SECOND
@@ -137,7 +138,7 @@
     return [*found.values()]
 
 
-class Measured(World):
+class Measured(SimulatedCluster):
     """Nodes with agreement, and as told: maintenance, so many limits, `wanted` of them at each node; `full`:
     all are asked for beyond what there is, so that each node asks again as soon as it may.
 
@@ -154,17 +155,17 @@
         self.wholes = [framing.Reassembler(MARK) for _ in range(nodes)]
         self.spent, self.number = [[0.0] for _ in range(nodes)], 0
         self.counts, self.regions, self.by_second = Counter(), None, None
-        for host in self.hosts:
-            self.later(self.random.randrange(1, TICKS_PER_SECOND), host.start)
+        for host in self.nodes:
+            self.schedule(self.random.randrange(1, TICKS_PER_SECOND), host.start)
         if limits:
-            self.later(1, self.work)
+            self.schedule(1, self.generate_load)
 
-    def parts_for(self, host):
-        me, n = host.me, self.count
+    def components_for(self, host):
+        me, n = host.node_id, self.node_count
         # As long as a real process's number, which each ask and ballot has in it.
-        process = host.life << 44 | self.random.getrandbits(44)
+        process = host.process << 44 | self.random.getrandbits(44)
         agreement = Consensus(
-            SeededRandom(f"{self.seed} {host.life}"), "f", me, n, self.voters, process, WAIT
+            SeededRandom(f"{self.seed} {host.process}"), "f", me, n, self.voters, process, WAIT
         )
         parts = [agreement]
         if self.maintenance:
@@ -180,47 +181,47 @@
             )
         if self.many:
             limits = [
-                Limit(name, LimitKind.RATE, 100_000 * n, 4 * n, 100, None, f"op{i}", False)
+                Limit(name, LimitKind.RATE, size=100_000 * n, burst=4 * n, floor=100, operation=f"op{i}")
                 if i % 2
-                else Limit(name, LimitKind.CONCURRENCY, 4 * n, 0, 1, None, f"op{i}", False)
+                else Limit(name, LimitKind.CONCURRENCY, size=4 * n, floor=1, operation=f"op{i}")
                 for i, name in enumerate(names(self.many))
             ]
             terms = LeaseTerms(n, self.lease, self.drift, TICKS_PER_SECOND)
             parts.append(RateLimits(agreement, me, process, limits, terms, host.clock()))
         return [Timed(part, self.spent[me]) for part in parts]
 
-    def work(self):
-        self.later(TICKS_PER_SECOND // 4, self.work)
-        for host in self.hosts:
-            if not host.alive:
+    def generate_load(self):
+        self.schedule(TICKS_PER_SECOND // 4, self.generate_load)
+        for host in self.nodes:
+            if not host.is_running:
                 continue
-            now, limiter = host.clock(), host.parts[-1].request_limiter
+            now, limiter = host.clock(), host.components[-1].request_limiter
             meters = [*limiter.meters.values()]
             for k in range(self.wanted):
-                i = (host.me + k) % self.many
+                i = (host.node_id + k) % self.many
                 if self.full or i % 2 or meters[i].in_flight < 2:
                     limiter.try_acquire(now, LimitedRequest(f"op{i}", None))
-            host.pull()
+            host.run_components()
 
-    def voted(self, host):
+    def record_acceptance(self, host):
         """Nobody judges here."""
 
-    learned = None
+    value_learned = None
 
-    def carry(self, by, to, message):
+    def send(self, by, to, message):
         self.number += 1
         start = thread_time()
         try:
             pieces = framing.pack(MARK, self.number, message)
         except ValueError:
-            self.done["too long"] += 1
+            self.event_counts["too long"] += 1
             return
         self.spent[by][0] += thread_time() - start - LOOK
         size = sum(map(len, pieces))
         self.count_up(by, "out", len(pieces), size)
         if self.regions and self.regions(by) != self.regions(to):
             return
-        self.later(1 + int(self.delay * self.random.expovariate(1)), self.arrive, by, to, pieces)
+        self.schedule(1 + int(self.mean_delay * self.random.expovariate(1)), self.deliver, by, to, pieces)
         self.count_up(to, "in", len(pieces), size)
 
     def count_up(self, node, way, pieces, size):
@@ -229,13 +230,13 @@
         if self.by_second is not None:
             self.by_second[self.now // TICKS_PER_SECOND, node, way] += size
 
-    def arrive(self, by, to, pieces):
+    def deliver(self, by, to, pieces):
         start = thread_time()
         for piece in pieces:
             message = self.wholes[to].take(by, piece)
         self.spent[to][0] += thread_time() - start - LOOK
         if message is not None:
-            self.hosts[to].heard(by, message)
+            self.nodes[to].receive(by, message)
 
     def measure(self, span):
         """A list by node of what it took a second through so long: words, bytes, CPU."""
@@ -250,12 +251,14 @@
                 "messages in": (self.counts[i, "messages in"] - counts[i, "messages in"]) / seconds,
                 "CPU": (self.spent[i][0] - spent[i]) / seconds,
             }
-            for i in range(self.count)
+            for i in range(self.node_count)
         ]
 
     def weighed(self, node):
-        host = self.hosts[node]
-        objects, size = weigh(*(part.part for part in host.parts), but=(self, host, *self.hosts, *self.spent))
+        host = self.nodes[node]
+        objects, size = weigh(
+            *(part.part for part in host.components), but=(self, host, *self.nodes, *self.spent)
+        )
         return {"objects": objects, "state": size}
 
     def role(self, rows, nodes, busiest=False):
@@ -286,8 +289,8 @@
     world = quiet(Measured(nodes, limits=limits, maintenance=False, executors=0, **shape))
     rows, some = world.measure(span), "all" if world.wanted == world.many else "two"
     more = f", {some} full" if world.full else ""
-    (holder,) = (h.me for h in world.hosts if h.parts[-1].election.is_certain_holder(h.clock()))
-    limiters = [h.parts[-1].request_limiter for h in world.hosts]
+    (holder,) = (h.node_id for h in world.nodes if h.components[-1].election.is_certain_holder(h.clock()))
+    limiters = [h.components[-1].request_limiter for h in world.nodes]
     assert any(m.share for limiter in limiters for m in limiter.meters.values()), "nothing is granted"
     return [
         row("holder of limits" + more, against, size, **world.role(rows, [holder])),
@@ -298,12 +301,12 @@
 def planned(against, size, nodes, span, length, executors=None, most=4, **shape):
     """A plan over so many executors from its giving on: who drives it, another voter, a node."""
     world = quiet(Measured(nodes, executors=max(executors or length, length), **shape))
-    world.spec.told = world.spec.answered = lambda *args: None
-    world.later(1, world.operate, TICKS_PER_SECOND // 10)
+    world.specification.call_answered = lambda *args: None
+    world.schedule(1, world.operators.operate, TICKS_PER_SECOND // 10)
     names = [e.name for e in world.executors][:length]
     plan = {"machines": names, "most": most, "workMs": 60_000, "leastShare": 0.0}
-    world.call(b"/v1/maintenance/plan", plan)
-    rows, rev = world.measure(span), max(h.parts[1].rollout.revision for h in world.hosts)
+    world.operators.call(b"/v1/maintenance/plan", plan)
+    rows, rev = world.measure(span), max(h.components[1].rollout.revision for h in world.nodes)
     changes = rev / (span / TICKS_PER_SECOND) * 3600
     told = [
         row(
@@ -312,7 +315,7 @@
             size,
             **world.role(rows, world.voters, True),
             changes=changes,
-            undelivered=world.done["too long"],
+            undelivered=world.event_counts["too long"],
         ),
         row("voter in a plan", against, size, **world.role(rows, world.voters)),
         row("node in a plan", against, size, **world.role(rows, range(5, nodes))),
@@ -324,19 +327,19 @@
     """A configuration as an agreed value of so many bytes, changed so often by node 0: a trial, no part."""
     world = quiet(Measured(nodes, maintenance=False, executors=0))
     value = {f"key {i}": "x" * 40 for i in range(max(length // 50, 1))}
-    giver, wait, made = world.hosts[0], 3600 * TICKS_PER_SECOND // an_hour, []
+    giver, wait, made = world.nodes[0], 3600 * TICKS_PER_SECOND // an_hour, []
 
     def change():
         i = len(made) % len(value)
         made.append(i)
-        giver.parts[0].propose(
+        giver.components[0].propose(
             giver.clock(),
             "configuration",
             lambda old: ({**(old or value), f"key {i}": f"{len(made):040}"}, True),
             lambda now, result: None,
         )
-        giver.pull()
-        world.later(wait, change)
+        giver.run_components()
+        world.schedule(wait, change)
 
     change()
     world.run(world.now + 2 * TICKS_PER_SECOND)
@@ -362,9 +365,9 @@
     """
     world = quiet(Measured(nodes, limits=34, full=True))
     if what == "restart of all":
-        for host in world.hosts:
-            host.end()
-            world.later(world.random.randrange(1, TICKS_PER_SECOND), host.start)
+        for host in world.nodes:
+            host.crash()
+            world.schedule(world.random.randrange(1, TICKS_PER_SECOND), host.start)
     else:
         # Voters 0 to 4: three of them, and three of five nodes, on one side.
         world.regions = lambda node: node % 5 in (0, 2, 4)
@@ -375,11 +378,11 @@
     while world.now < start + span:
         world.run(world.now + TICKS_PER_SECOND // 2)
         if whole is None and all(
-            h.alive
-            and h.parts[1].view_is_certain(h.clock())
-            and h.parts[2].share_client.answered_at
-            and any(m.active_share(h.clock()) for m in h.parts[2].request_limiter.meters.values())
-            for h in world.hosts
+            h.is_running
+            and h.components[1].view_is_certain(h.clock())
+            and h.components[2].share_client.answered_at
+            and any(m.active_share(h.clock()) for m in h.components[2].request_limiter.meters.values())
+            for h in world.nodes
         ):
             whole = (world.now - start) / TICKS_PER_SECOND
     worst = {}
@@ -445,7 +448,7 @@
             0.0,
         )
         self.operations, self.tenants, self.run, self.out = operations, tenants, {}, 0
-        self.rows = endpoint_rows(entries(orjson.loads(listing(executors))))
+        self.rows = endpoint_rows(parse_endpoint_rows(orjson.loads(listing(executors))))
         self.tell(self.d.handle, EndpointsChanged(True, self.rows))
 
     def tell(self, call, *args):
@@ -566,12 +569,12 @@
     text, took, books = listing(size), [], Books(size)
     for _ in range(5):
         start = thread_time()
-        rows = entries(orjson.loads(text))
+        rows = parse_endpoint_rows(orjson.loads(text))
         parsed = thread_time() - start
         books.took = 0.0
         books.tell(books.d.handle, EndpointsChanged(True, endpoint_rows(rows)))
         took.append(parsed + books.took)
-    call = http.request(b"GET", b"/discovery/hosts?after=12345&wait_ms=2000", b"10.0.0.1:9000")
+    call = request_head(b"GET", b"/discovery/hosts?after=12345&wait_ms=2000", b"10.0.0.1:9000")
     return [
         row(
             "discovery, for each node",
@@ -595,8 +598,8 @@
 
     async def play():
         loop, heard = asyncio.get_running_loop(), []
-        turn = Turn(loop, Gauges())
-        turn.decide = turn.carry = lambda *args: None
+        turn = BatchLoop(loop, Metrics())
+        turn.next_action = turn.carry_out = lambda *args: None
         done = asyncio.Event()
 
         def take(now, by, data):
@@ -609,10 +612,10 @@
             with socket.socket(type=socket.SOCK_DGRAM) as s:
                 s.bind(("127.0.0.1", 0))
                 addresses.append(s.getsockname())
-        both, wanted = [Peers(loop, turn, take, 1_200) for _ in range(2)], [0]
+        both, wanted = [PeerSocket(loop, turn, take, 1_200) for _ in range(2)], [0]
         for i, peers in enumerate(both):
-            peers.move(addresses, i)
-        await asyncio.gather(*(peers.task for peers in both))
+            peers.set_peers(addresses, i)
+        await asyncio.gather(*(peers.open_task for peers in both))
         start = thread_time()
         for _ in range(count // 10):
             # Ten in a turn: a voter of hundreds of nodes finds some whenever it looks.
--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity import cpu
 from grebedyke.load.arrivals import LoadShape, Operation, draw_arrivals
 from grebedyke.load.clients import OpenLoopClients
-from grebedyke.rig.fleet import RAMP, Rig
+from grebedyke.testbed.process_cluster import WARM_UP_TIME, ProcessCluster, ProcessClusterSettings
 
 ZONES = ("a", "b", "c", "d")
 LOOK_INTERVAL = 0.1
@@ -52,7 +52,7 @@
 
     def ideal_time(self):
         """Returns the seconds that the ideal schedule takes."""
-        return -(-self.executors // len(ZONES)) * (self.work + RAMP)
+        return -(-self.executors // len(ZONES)) * (self.work + WARM_UP_TIME)
 
 
 class RunResult(NamedTuple):
@@ -139,7 +139,15 @@
 async def play(seed, settings, with_plan):
     """Plays the load once and returns the `RunResult`."""
     voters = 3 if settings.nodes < 7 else 5
-    fleet = Rig(OPERATIONS, settings.nodes, settings.executors, voters, seed, zones=ZONES)
+    cluster_settings = ProcessClusterSettings(
+        operations=OPERATIONS,
+        nodes=settings.nodes,
+        executors=settings.executors,
+        voters=voters,
+        seed=seed,
+        zones=ZONES,
+    )
+    fleet = ProcessCluster(cluster_settings)
     seconds = settings.ideal_time() * LOAD_PER_IDEAL
     try:
         await fleet.start()
--- a/grebedyke/commands/scale.py
+++ b/grebedyke/commands/scale.py
@@ -40,7 +40,12 @@
     help="What the driver of a plan and the holder of the limits are: two nodes, but for any.",
 )
 @click.option(
-    "--each", default=16, show_default=True, type=click.IntRange(1, 500), help="Hollow nodes in a process."
+    "--each",
+    "hollow_per_process",
+    default=16,
+    show_default=True,
+    type=click.IntRange(1, 500),
+    help="Hollow nodes in a process.",
 )
 @click.option("--lease", default=2.0, show_default=True, type=click.FloatRange(0.4, 60), help="Seconds.")
 @click.option(
@@ -57,6 +62,7 @@
 @click.option("--host", help="A loopback address of this machine; drawn without it.")
 @click.option(
     "--port",
+    "first_port",
     default=21_000,
     show_default=True,
     type=click.IntRange(1_024, 65_000),
@@ -74,11 +80,11 @@
       grebedyke scale --nodes 40 --real 3 --for 20
       grebedyke scale --nodes 760 --real 20 --seed 1 --for 120 --scene cut --json cut.json
     """
-    from grebedyke.rig import figures
+    from grebedyke.testbed import scale_report
 
     _check(options)
     result = _play(options, simulated)
-    for line in figures.lines(result):
+    for line in scale_report.table_lines(result):
         click.echo(line)
     for line in _difference_lines(result):
         click.echo(line)
@@ -86,7 +92,7 @@
         click.echo(line)
     if json_path:
         Path(json_path).write_text(json.dumps(result, indent=1, default=str) + "\n")
-    violations = [*figures.verdict(result)]
+    violations = [*scale_report.problem_lines(result)]
     for line in violations:
         click.echo(line)
     raise SystemExit(ExitCode.RULE_BROKEN if violations else ExitCode.OK)
@@ -94,9 +100,9 @@
 
 def _check(options):
     """Ends the program where the options do not go together."""
-    from grebedyke.rig import broken
+    from grebedyke.testbed import broken_builds
 
-    builds = broken.BUILDS | broken.LIMITS | broken.SCALE
+    builds = broken_builds.BUILDS | broken_builds.LIMITS | broken_builds.SCALE
     if options["build"] and options["build"] not in builds:
         fail(f"--build is one of these: {'; '.join(builds)}")
     if options["wait"] * LEAST_WAITS_PER_LEASE > options["lease"]:
@@ -106,19 +112,20 @@
 def _play(options, simulated):
     """Returns what the run gives; where it fails, one line, and the program ends."""
     from grebedyke.emulators import http_messages
-    from grebedyke.rig import scale as scales
+    from grebedyke.testbed import scale_run
+    from grebedyke.testbed.scale_capacity import DoesNotFitError
 
     try:
         if options["host"]:
             options = {**options, "host": http_messages.parse_loopback_host(options["host"])}
         lead = None if options["lead"] == "any" else options["lead"]
         result = asyncio.run(
-            scales.play(lambda text: click.echo(text, err=True), **{**options, "lead": lead})
+            scale_run.play(lambda text: click.echo(text, err=True), **{**options, "lead": lead})
         )
         if simulated:
             result["simulated"] = _play_simulated(options)
         return result
-    except (scales.Unfit, ValueError) as problem:
+    except (DoesNotFitError, ValueError) as problem:
         fail(str(problem))
     except (KeyboardInterrupt, asyncio.CancelledError):
         fail("stopped", ExitCode.CANNOT_SERVE)
@@ -128,11 +135,11 @@
 
 def _play_simulated(options):
     """Plays the same fleet in simulated time, all nodes alike."""
-    from grebedyke.rig import scale as scales
-    from grebedyke.rig.simulated import beside
+    from grebedyke.testbed import simulated_fleet
+    from grebedyke.testbed.scale_settings import ScaleSettings
 
     same = {name: options[name] for name in ("nodes", "seed", "scene", "lease", "wait")}
-    return beside(scales.Run(real=0, **same), min(options["seconds"], LONGEST_SIMULATION))
+    return simulated_fleet.play(ScaleSettings(real=0, **same), min(options["seconds"], LONGEST_SIMULATION))
 
 
 def _difference_lines(result):
--- a/grebedyke/commands/torture.py
+++ b/grebedyke/commands/torture.py
@@ -136,9 +136,9 @@
 
 def _check(settings):
     """Ends the program where the options do not go together."""
-    from grebedyke.rig import broken
+    from grebedyke.testbed import broken_builds
 
-    builds = broken.LIMITS if settings.limits else broken.BUILDS
+    builds = broken_builds.LIMITS if settings.limits else broken_builds.BUILDS
     if settings.limits and not settings.simulated:
         fail("--limits goes with --simulated")
     if settings.broken_build and (settings.broken_build not in builds or not settings.simulated):
@@ -162,23 +162,23 @@
     """Plays one round and returns its `RoundResult`."""
     if settings.simulated:
         return _play_simulated_round(seed, settings)
-    from grebedyke.rig import rounds
+    from grebedyke.testbed import trial
 
     played = asyncio.run(
-        rounds.play(seed, processes=settings.processes, seconds=settings.seconds, older=settings.older)
+        trial.play(seed, processes=settings.processes, seconds=settings.seconds, older=settings.older)
     )
-    return RoundResult(seed, _as_texts(played.broken), dict(played.done), played.logs)
+    return RoundResult(seed, _as_texts(played.violations), dict(played.event_counts), played.logs)
 
 
 def _play_simulated_round(seed, settings):
-    from grebedyke.rig import broken, limited, world
+    from grebedyke.testbed import broken_builds, simulated_cluster, simulated_limits
 
-    world_kind = limited if settings.limits else world
+    simulation = simulated_limits if settings.limits else simulated_cluster
     voters = 3 if settings.processes < 7 else 5
-    build = broken.build(settings.broken_build) if settings.broken_build else nullcontext()
+    build = broken_builds.build(settings.broken_build) if settings.broken_build else nullcontext()
     with build:
-        violations, played = world_kind.play(seed, nodes=settings.processes, voters=voters)
-    return RoundResult(seed, _as_texts(violations), dict(played.done), {})
+        violations, played = simulation.play(seed, nodes=settings.processes, voters=voters)
+    return RoundResult(seed, _as_texts(violations), dict(played.event_counts), {})
 
 
 def _as_texts(violations):
--- a/grebedyke/fleetlog/totals.py
+++ b/grebedyke/fleetlog/totals.py
@@ -3,9 +3,19 @@
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-from grebedyke.service.log import DEEDS, ENDS, OUTCOMES
-
-COLUMNS = ("nodes", "taken", *OUTCOMES, *DEEDS, *ENDS.values(), "held", "out", "listed", "warnings")
+from grebedyke.service.metrics import ACTIVITY_COUNTS, ANSWER_COUNTS, FAILURE_COUNTS
+
+COLUMNS = (
+    "nodes",
+    "taken",
+    *ANSWER_COUNTS,
+    *ACTIVITY_COUNTS,
+    *FAILURE_COUNTS.values(),
+    "held",
+    "out",
+    "listed",
+    "warnings",
+)
 
 WARNING_LEVELS = ("WARNING", "ERROR", "CRITICAL")
 
--- a/grebedyke/service/component_host.py
+++ b/grebedyke/service/component_host.py
@@ -11,6 +11,7 @@
 from loguru import logger
 
 from grebedyke.consensus import actions, framing
+from grebedyke.consensus.component import Component
 from grebedyke.errors import ConfigurationError, ForeignRecordError
 from grebedyke.service.endpoint_exclusions import EndpointExclusions
 from grebedyke.units import TICKS_PER_SECOND
@@ -39,12 +40,24 @@
     banned_names: Callable[[], Iterable[str]]
 
 
+class ComponentAction(NamedTuple):
+    """An action with the component that asks for it.
+
+    Attributes:
+        component: The component.
+        action: One of the actions of `grebedyke/consensus/actions.py`.
+    """
+
+    component: Component
+    action: actions.Action
+
+
 class ComponentHost:
     """Hosts a node's components.
 
     Attributes:
         loop: The event loop, for writes to disk.
-        turn: The node's batches; all calls of components happen in them.
+        batch: The node's `BatchLoop`; all calls of components happen in them.
         record_files: The node's folder.
         components: In the order in which they are asked for actions.
         node: The rest of the node.
@@ -58,9 +71,9 @@
         exclusions: Which endpoints are out.
     """
 
-    def __init__(self, loop, turn, record_files, fleet, components, node):
+    def __init__(self, loop, batch, record_files, fleet, components, node):
         self.loop = loop
-        self.turn = turn
+        self.batch = batch
         self.record_files = record_files
         self.components = components
         self.node = node
@@ -95,7 +108,7 @@
         """
         if not inherited:
             self.exclusions.exclude_all(self.components)
-        self._open_folder(self.turn.clock())
+        self._open_folder(self.batch.clock())
 
     def _open_folder(self, now):
         try:
@@ -124,11 +137,11 @@
                 "fleet: another process has the folder, this one waits for it", event="folder-held"
             )
         self.is_waiting_for_folder = True
-        self.turn.at(now + LOCK_RETRY_INTERVAL, self._open_folder)
+        self.batch.call_at(now + LOCK_RETRY_INTERVAL, self._open_folder)
 
     def _request_batch(self):
         """Has the components asked for their actions."""
-        self.turn.put(do_nothing)
+        self.batch.enqueue(do_nothing)
 
     # What comes in.
 
@@ -164,7 +177,7 @@
         if content is not None and not isinstance(content, dict):
             caller.answer(400, "the call is not a JSON object")
             return True
-        self.turn.put(component.operator_call, caller, method, path, content)
+        self.batch.enqueue(component.operator_call, caller, method, path, content)
         return True
 
     def operator_ban(self, now, name, is_banned):
@@ -174,7 +187,7 @@
     # What goes out.
 
     def next_action(self, now):
-        """Returns the next component with an action, and the action; None where there is none."""
+        """Returns the next `ComponentAction`, None where there is none."""
         if not self.is_started:
             return None
         for component in self.components:
@@ -183,7 +196,7 @@
                 component.open_attempts_reported(now, names)
             action = component.next_action(now)
             if action is not None:
-                return component, action
+                return ComponentAction(component, action)
         return None
 
     def perform(self, now, component, action):
@@ -222,12 +235,12 @@
             if reason:
                 logger.error("fleet: {file} is not kept: {why}", event="disk", file=action.file, why=reason)
             succeeded = reason is None
-            self.turn.put(component.record_persisted, action.file, action.number, succeeded)
+            self.batch.enqueue(component.record_persisted, action.file, action.number, succeeded)
 
         self.loop.run_in_executor(self.disk_thread, write).add_done_callback(report)
 
     def _wake_at(self, now, component, action):
-        self.turn.at(action.at, do_nothing)
+        self.batch.call_at(action.at, do_nothing)
 
     def _exclude_endpoints(self, now, component, action):
         self.exclusions.request(now, component, action)
--- a/grebedyke/service/configuration/__init__.py
+++ b/grebedyke/service/configuration/__init__.py
@@ -5,10 +5,10 @@
 """
 
 from grebedyke.errors import ConfigurationError
+from grebedyke.service.configuration.dispatcher_settings import open_dispatcher
 from grebedyke.service.configuration.file_parsing import parse_node_file, parse_plain_file
 from grebedyke.service.configuration.node_configuration import read_node, values_in_force
 from grebedyke.service.configuration.settings_schema import check_settings
-from grebedyke.service.configuration.terms import open_dispatcher
 
 __all__ = [
     "ConfigurationError",
--- /dev/null
+++ b/grebedyke/testbed/trial.py
@@ -0,0 +1,387 @@
+"""One trial with real processes: a plan, clients' load, faults drawn by a seed, and what is checked of it."""
+
+import asyncio
+import random
+import signal
+import time
+from collections import Counter, defaultdict
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from grebedyke.load.arrivals import LoadShape, Operation, draw_arrivals
+from grebedyke.load.clients import OpenLoopClients
+from grebedyke.testbed.process_cluster import (
+    DRAIN_GRACE,
+    WARM_UP_TIME,
+    ProcessCluster,
+    ProcessClusterSettings,
+)
+from grebedyke.testbed.trial_checker import TrialChecker
+from grebedyke.testbed.trial_faults import FAULTS
+from grebedyke.testbed.violations import Violation
+
+OPERATIONS = (
+    Operation("hold", "keyed", share=0.4),
+    Operation("confirm", "unsafe", share=0.3),
+    Operation("view", "safe", share=0.3),
+)
+# Seconds from the end of the last fault: by then the plan has ended, at any machine's pace.
+SETTLING_TIMEOUT = 60.0
+# Seconds from a node's admission of a request until an executor has it, at most: it waits for a free one.
+LONGEST_QUEUE_TIME = 0.5
+# Requests a second, how long each runs on average, and how long they go on after the faults, in seconds.
+REQUEST_RATE = 30.0
+MEAN_WORK = 0.05
+LOAD_AFTER_FAULTS = 4
+# The mean time between two faults at a pace of 1, in seconds.
+MEAN_FAULT_INTERVAL = 1.5
+MACHINES_OUT = 2
+POLL_INTERVAL = 0.1
+SHORT_POLL_INTERVAL = 0.05
+HEALING_POLLS = 400
+SCRIPT_TRIES = 3
+SCRIPT_TIMEOUT = 1.0
+
+
+class TrialResult(NamedTuple):
+    """What a trial came to.
+
+    Attributes:
+        seed: Its seed.
+        violations: A `Violation` for each broken promise.
+        event_counts: How often each fault and each piece of work came about.
+        seconds: How long it took.
+        logs: The nodes' logs by name where a promise was broken.
+    """
+
+    seed: int
+    violations: list[Violation]
+    event_counts: Counter
+    seconds: float
+    logs: dict[str, str]
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class TrialSettings:
+    """What a trial is, beside its seed.
+
+    Attributes:
+        processes: How many nodes there are.
+        executors: How many executors there are.
+        seconds: How long faults are injected.
+        kinds: The kinds of faults that are drawn, keys of `trial_faults.FAULTS`; None for all of them.
+        pace: How often: on average once in 1.5 s divided by this figure; from 1 on each kind at least once.
+        script: Whether operators take machines out by a script, as before there were plans, for comparison.
+        older: The source tree of another version; each start of a node draws which of the two runs.
+    """
+
+    processes: int = 5
+    executors: int = 6
+    seconds: float = 10.0
+    kinds: Sequence[str] | None = None
+    pace: float = 1.0
+    script: bool = False
+    older: str | None = None
+
+
+class Trial:
+    """One trial.
+
+    Attributes:
+        seed: Its seed.
+        settings: The `TrialSettings`.
+        random: Draws the faults.
+        cluster: The `ProcessCluster`.
+        checker: The `TrialChecker`.
+        busy_nodes: Names of the nodes that a fault or an operator has in hand.
+        forgetful_nodes: Names of the nodes that have lost their memory and have not rejoined.
+    """
+
+    def __init__(self, seed, **settings):
+        """Draws a trial.
+
+        Args:
+            seed: Its seed.
+            **settings: Fields of a `TrialSettings`.
+        """
+        self.seed = seed
+        self.settings = TrialSettings(**settings)
+        self.random = random.Random(f"round {seed}")
+        self.checker = TrialChecker()
+        self.cluster = ProcessCluster(self._cluster_settings())
+        self.busy_nodes = set()
+        self.forgetful_nodes = set()
+        self._fault_kinds = list(self.settings.kinds or FAULTS)
+        self._handled_work = set()
+        self._tasks = []
+
+    def _cluster_settings(self):
+        processes = self.settings.processes
+        return ProcessClusterSettings(
+            operations=OPERATIONS,
+            nodes=processes,
+            executors=self.settings.executors,
+            voters=3 if processes < 7 else 5,
+            seed=self.seed,
+            peer_messages=self.seed % 3 == 0,
+            older_tree=self.settings.older,
+            limits=trial_limits(processes) if self.seed % 4 == 1 else None,
+        )
+
+    async def play(self):
+        """Plays the trial to its end; returns its `TrialResult`."""
+        start = time.monotonic()
+        logs = {}
+        try:
+            await self._play()
+        except Exception as problem:  # the next trial goes on; one that has failed itself has not passed
+            self.checker.report("the rig", repr(problem))
+        finally:
+            for task in self._tasks:
+                task.cancel()
+            await asyncio.gather(*self._tasks, return_exceptions=True)
+            if self.checker.violations:
+                logs = self._read_logs()
+            await self.cluster.close()
+        seconds = time.monotonic() - start
+        return TrialResult(self.seed, self.checker.violations, self._event_counts(), seconds, logs)
+
+    async def _play(self):
+        cluster = self.cluster
+        await cluster.start()
+        await self._until(all_are_sure, "sure at the start")
+        clients = OpenLoopClients(cluster.nodes, seed=self.seed)
+        load_seconds = self.settings.seconds + LOAD_AFTER_FAULTS
+        shape = LoadShape(operations=OPERATIONS, rate=REQUEST_RATE, seconds=load_seconds, mean_work=MEAN_WORK)
+        load = asyncio.ensure_future(clients.play(draw_arrivals(self.seed, shape)))
+        faults = asyncio.ensure_future(self._inject_faults())
+        self._tasks += [asyncio.ensure_future(self._operate()), faults]
+        if self.settings.script:
+            await self._take_out_by_script()
+        else:
+            await self._take_out_by_plan()
+        await faults
+        await self._end_faults()
+        await load
+        await self._until(all_have_no_plan, "plans end")
+        cluster.report_to(clients.ledger)
+        self._check(clients.ledger)
+
+    def _check(self, ledger):
+        limits = self.cluster.limits or ()
+        self.checker.check_rules(ledger, is_limited=bool(limits))
+        self.checker.check_limits(ledger, limits, LONGEST_QUEUE_TIME)
+        voters = {f"node:{voter}" for voter in self.cluster.voters}
+        self.checker.check_logs(self.cluster.events(), MACHINES_OUT, voters)
+
+    def _read_logs(self):
+        paths = {name: self.cluster.path(name, "log") for name in self.cluster.nodes}
+        return {name: path.read_text(errors="replace") for name, path in paths.items() if path.exists()}
+
+    def _event_counts(self):
+        relay = self.cluster.relay
+        counts = self.cluster.event_counts + (relay.event_counts if relay else Counter())
+        counts += self.checker.event_counts
+        for proxy in self.cluster.proxies.values():
+            counts += proxy.event_counts
+        return counts
+
+    # Operators.
+
+    async def _take_out_by_plan(self):
+        machines = [*self.cluster.executors]
+        if self.seed % 2 == 0:
+            # Nodes as machines: one that votes, one that does not.
+            machines += ["node:0", f"node:{len(self.cluster.nodes) - 1}"]
+        plan = {
+            "machines": machines,
+            "most": MACHINES_OUT,
+            "mostZone": 1,
+            "leastShare": 0.3,
+            "workMs": 30_000,
+            "late": "go on",
+        }
+        self.checker.plan_answered(await self._ask("/v1/maintenance/plan", plan))
+        # A second operator, at another node, amid the first one's plan.
+        other_plan = {"machines": machines[:2], "most": 1, "workMs": 30_000, "id": "other"}
+        answer = await self._ask("/v1/maintenance/plan", other_plan, (200, 409))
+        self.checker.second_plan_answered(answer)
+
+    async def _take_out_by_script(self):
+        """Takes out one executor of each zone at a time."""
+        names = [*self.cluster.executors]
+        await asyncio.gather(self._take_out(names[::2]), self._take_out(names[1::2]))
+
+    async def _take_out(self, names):
+        for name in names:
+            await self._call_all_nodes(name, "suspend")
+            await asyncio.sleep(DRAIN_GRACE)
+            await self._work_at_executor("a script", name, 0)
+            await self._call_all_nodes(name, "resume")
+            await asyncio.sleep(WARM_UP_TIME)
+
+    async def _call_all_nodes(self, name, command):
+        """Calls each node; one that does not answer is asked twice more, then left."""
+        for node in self.cluster.nodes:
+            for _ in range(SCRIPT_TRIES):
+                path = f"/v1/executors/{name}/{command}"
+                status, _ = await self.cluster.call(node, "POST", path, timeout=SCRIPT_TIMEOUT)
+                if status == 200:
+                    break
+
+    async def _until(self, is_enough, clause):
+        """Waits until the states of all nodes are enough; too long a wait breaks that clause."""
+        end = time.monotonic() + SETTLING_TIMEOUT
+        while True:
+            states = await asyncio.gather(*(self.cluster.status(name) for name in self.cluster.nodes))
+            if is_enough(states):
+                return
+            if time.monotonic() > end:
+                seen = [state and (state["rev"], state["state"], state["sure"]) for state in states]
+                self.checker.report(clause, f"not within {SETTLING_TIMEOUT:g} s: {seen}")
+                return
+            await asyncio.sleep(POLL_INTERVAL)
+
+    def any_node(self):
+        """Draws a node that is up and in nobody's hand; None where there is none."""
+        nodes = [
+            name for name in self.cluster.nodes if self.cluster.is_up(name) and name not in self.busy_nodes
+        ]
+        return self.random.choice(nodes) if nodes else None
+
+    async def _ask(self, path, body=None, expected=(200,)):
+        """Makes an operator's call, again at any node until one answers yes or no: that is harmless.
+
+        Returns:
+            Status and text; (0, "") where none has answered in time.
+        """
+        end = time.monotonic() + SETTLING_TIMEOUT
+        while time.monotonic() < end:
+            name = self.any_node()
+            if name:
+                status, text = await self.cluster.call(name, "POST", path, body)
+                # 400: a node that has just begun knows no machine yet.
+                if status in expected or status not in (0, 400, 503):
+                    return status, text
+            await asyncio.sleep(POLL_INTERVAL)
+        self.checker.report("calls are answered", f"{path}: not within {SETTLING_TIMEOUT:g} s")
+        return 0, ""
+
+    async def _operate(self):
+        """Works at each machine that a node says is free, starts it anew and gives it back."""
+        while True:
+            node = self.any_node()
+            if node:
+                state = await self.cluster.status(node)
+                for row in state["machines"] if state else ():
+                    work = (row["name"], row["number"])
+                    if row["state"] == "free" and work not in self._handled_work:
+                        self._handled_work.add(work)
+                        self._tasks.append(asyncio.ensure_future(self._work_at(node, *work)))
+            await asyncio.sleep(SHORT_POLL_INTERVAL)
+
+    async def _work_at(self, informant, name, number):
+        if name.startswith("node:"):
+            await self._restart_node(int(name.removeprefix("node:")))
+        else:
+            await self._work_at_executor(informant, name, number)
+            await self._ask(f"/v1/maintenance/back/{name}/{number}", None, (200, 409))
+
+    async def _restart_node(self, number):
+        """Works at a node: it is ended gracefully, answers all that it owes, and comes back."""
+        name = [*self.cluster.nodes][number]
+        while name in self.busy_nodes:
+            await asyncio.sleep(SHORT_POLL_INTERVAL)
+        self.busy_nodes.add(name)
+        self.checker.event_counts["nodes worked at"] += 1
+        loop = asyncio.get_running_loop()
+        start = loop.time()
+        await self.cluster.end(name, signal.SIGTERM)
+        self.checker.graceful_shutdowns[name].append((start, loop.time()))
+        await asyncio.sleep(0.2 + self.random.random())
+        await self.cluster.launch(name)
+        self.busy_nodes.discard(name)
+
+    async def _work_at_executor(self, informant, name, number):
+        """Works at an executor that the node `informant` has called free under a number."""
+        executor = self.cluster.executors[name]
+        start = asyncio.get_running_loop().time()
+        self.checker.event_counts["worked at"] += 1
+        await asyncio.sleep(0.3 + self.random.random())
+        for request_id, arrived_at in executor.arrivals:
+            if arrived_at > start:
+                self.checker.event_counts["reached in work"] += 1
+                if not self.settings.script:
+                    late = arrived_at - start
+                    detail = f"{request_id} reached {name} {late:.3f} s after {informant} had told it free"
+                    self.checker.report("free is free", f"{detail} by number {number}")
+        await executor.restart()
+        await self.cluster.discovery.change(name, status="Ready", since_ms=int(time.time() * 1000))
+
+    # Faults.
+
+    async def _inject_faults(self):
+        end = time.monotonic() + self.settings.seconds
+        pending = []
+        # Each kind once before any twice: a fault that did not happen proves nothing.
+        first_kinds = self.random.sample(self._fault_kinds, len(self._fault_kinds))
+        while time.monotonic() < end or first_kinds and self.settings.pace >= 1:
+            await asyncio.sleep(self.random.expovariate(1) * MEAN_FAULT_INTERVAL / self.settings.pace)
+            kind = first_kinds.pop() if first_kinds else self.random.choice(self._fault_kinds)
+            pending.append(asyncio.ensure_future(FAULTS[kind](self)))
+        await asyncio.gather(*pending)
+
+    async def _end_faults(self):
+        """Makes all links good again and has all nodes up."""
+        self.cluster.relay.clear_faults()
+        for _ in range(HEALING_POLLS):
+            if not self.busy_nodes:
+                break
+            await asyncio.sleep(SHORT_POLL_INTERVAL)
+        for name in self.cluster.nodes:
+            self.cluster.resume(name)
+            if not self.cluster.is_up(name):
+                await self.cluster.restart(name)
+
+
+def trial_limits(processes):
+    """Returns limits of the whole fleet, of which more is asked for than they admit."""
+    return [
+        {
+            "name": "all",
+            "rate": REQUEST_RATE * 2 / 3,
+            "burst": max(20, processes),
+            "floor": REQUEST_RATE / 3 / processes,
+        },
+        {"name": "confirms", "underWay": 3, "operation": "confirm"},
+    ]
+
+
+def all_are_sure(states):
+    """Returns whether all nodes have answered and have current views."""
+    return all(state and state["sure"] for state in states)
+
+
+def all_have_no_plan(states):
+    """Returns whether all nodes have answered, have current views and know of no open plan."""
+    return all(state and state["sure"] and not state["plan"] for state in states)
+
+
+async def play(seed, **settings):
+    """Plays one trial to its end; returns its `TrialResult`.
+
+    Args:
+        seed: The trial's seed.
+        **settings: Fields of a `TrialSettings`.
+    """
+    return await Trial(seed, **settings).play()
+
+
+def total_counts(results):
+    """Returns what came about in all trials of these `TrialResult`s together."""
+    counts = defaultdict(int)
+    for result in results:
+        for event, count in result.event_counts.items():
+            counts[event] += count
+    return dict(counts)
--- /dev/null
+++ b/grebedyke/testbed/trial_checker.py
@@ -0,0 +1,235 @@
+"""The checker of a trial with real processes: by clients, executors and logs.
+
+Nothing of what is checked is used here.
+"""
+
+from collections import Counter, defaultdict
+from typing import NamedTuple
+
+from grebedyke.testbed.violations import Violation
+
+# A machine in one of these states counts as out, which a plan's `most` limits.
+OUT_STATES = {"leaving", "free", "back"}
+# The states that may directly follow each state.
+FOLLOWING_STATES = {
+    "waiting": {"leaving", "skipped"},
+    "leaving": {"free", "skipped"},
+    "free": {"back", "failed"},
+    "back": {"done", "failed"},
+    "failed": {"back"},
+}
+# A message and a close meet on a connection of this machine within that, in seconds.
+CROSSING_TIME = 0.02
+# A client's answer may come so many seconds after its deadline.
+ANSWER_TOLERANCE = 1
+# So many requests succeed at least: as a part of those taken, or under limits in all.
+SUCCEEDED_DIVISOR = 4
+SUCCEEDED_UNDER_LIMITS = 20
+
+
+class MachineChange(NamedTuple):
+    """A change of a machine's state as a log has it.
+
+    Attributes:
+        revision: The rollout's revision that brought it.
+        machine: The machine's name.
+    """
+
+    revision: int
+    machine: str
+
+
+class TrialChecker:
+    """Checks a trial.
+
+    Attributes:
+        violations: A `Violation` for each broken promise.
+        event_counts: What came about.
+        disturbances: By node the (start, end) in which its process was paused or killed.
+        graceful_shutdowns: By node the (start, end) in which its process was ended as operators do.
+    """
+
+    def __init__(self):
+        self.violations = []
+        self.event_counts = Counter()
+        self.disturbances = defaultdict(list)
+        self.graceful_shutdowns = defaultdict(list)
+        self._accepted_plan = None
+
+    def report(self, clause, detail):
+        """Notes a broken promise."""
+        self.violations.append(Violation(clause, detail))
+
+    # What is seen.
+
+    def node_disturbed(self, name, start, end):
+        """Notes that a node's process was paused or killed."""
+        self.disturbances[name].append((start, end))
+
+    def plan_answered(self, answer):
+        """Notes the answer to the plan: once accepted it stays so, whatever is lost from then on."""
+        status, text = answer
+        if status != 200:
+            self.report("calls are answered", f"the plan: {status} {text}")
+        else:
+            self._accepted_plan = text.split()[1].rstrip(":")
+
+    def second_plan_answered(self, answer):
+        """Checks the answer to a second plan: no while the first is open, or taken once that has ended."""
+        status, text = answer
+        if status not in (200, 409):
+            self.report("two operators", f"{status} {text}")
+
+    # The rules of the answers to clients.
+
+    def check_rules(self, ledger, is_limited=False):
+        """Checks rules 1 to 3; what a killed or paused process had taken is its own loss.
+
+        Args:
+            ledger: The ledger of clients and executors.
+            is_limited: Whether the fleet had limits.
+        """
+        for violation in ledger.violations():
+            entry = ledger.entries[violation.id]
+            node = violation.id.partition("-")[0]
+            if violation.rule == 1:
+                if self._has_crossed_close(entry, node):
+                    self.event_counts["crossed a close"] += 1
+                    continue
+                if self._was_lost_by_fault(entry, node):
+                    continue
+            self._report_rule(violation, entry, node)
+        counts = ledger.counts()
+        self.event_counts["taken"] += counts["taken"]
+        self.event_counts["succeeded"] += counts["succeeded"]
+        # A fleet that sends nothing breaks no rule.
+        least = SUCCEEDED_UNDER_LIMITS if is_limited else counts["taken"] / SUCCEEDED_DIVISOR
+        if counts["succeeded"] < least:
+            self.report("work goes on", f"{dict(counts)}")
+
+    def _has_crossed_close(self, entry, node):
+        """Returns whether a request was written while its node, about to end, closed that idle connection.
+
+        No node has taken such a request, and so nobody owes it an answer.
+        """
+        if entry.answers or entry.ended is None or entry.ended - entry.sent >= CROSSING_TIME:
+            return False
+        return any(start <= entry.sent <= end for start, end in self.graceful_shutdowns[node])
+
+    def _was_lost_by_fault(self, entry, node):
+        sent = entry.sent or 0
+        due = sent + entry.operation.timeout + ANSWER_TOLERANCE
+        return any(start <= due and end >= sent for start, end in self.disturbances[node])
+
+    def _report_rule(self, violation, entry, node):
+        sent = entry.sent or 0
+        ended = entry.ended and entry.ended - sent
+        since = [round(sent - start, 3) for start, _ in self.graceful_shutdowns[node]]
+        self.report(
+            f"rule {violation.rule}",
+            f"{violation.id}: {violation.description}; its client's end came {ended} s after it was sent, "
+            f"{since} s after its node was told to end",
+        )
+
+    # Limits.
+
+    def check_limits(self, ledger, limits, longest_queue_time):
+        """Checks what reached the executors, up to the first limit that is exceeded.
+
+        In any window W at most limit * (W + longest_queue_time) + burst requests, and never more in flight.
+
+        Args:
+            ledger: The ledger of clients and executors.
+            limits: Rows of a configuration.
+            longest_queue_time: Seconds from a node's admission of a request until an executor has it.
+        """
+        for limit in limits:
+            arrivals = sorted(
+                (min(time for time, _ in ledger.arrivals[request_id]), request_id)
+                for request_id, entry in ledger.entries.items()
+                if limit.get("operation") in (None, entry.operation.name) and ledger.arrivals[request_id]
+            )
+            self.event_counts[f"limit {limit['name']}"] += len(arrivals)
+            if "rate" in limit:
+                is_kept = self._check_rate(limit, arrivals, longest_queue_time)
+            else:
+                is_kept = self._check_concurrency(limit, arrivals, ledger.effects)
+            if not is_kept:
+                return
+
+    def _check_rate(self, limit, arrivals, longest_queue_time):
+        capacity = limit["burst"] + limit["rate"] * longest_queue_time
+        tokens = capacity
+        previous = arrivals[0][0] if arrivals else 0
+        for time, request_id in arrivals:
+            tokens = min(tokens + limit["rate"] * (time - previous), capacity) - 1
+            previous = time
+            if tokens < 0:
+                self.report("over the rate", f"{limit['name']} by {-tokens:.1f} at {request_id}")
+                return False
+        return True
+
+    def _check_concurrency(self, limit, arrivals, runs):
+        ran = [(time, request_id) for time, request_id in arrivals if runs[request_id]]
+        starts = [(time, 1) for time, _ in ran]
+        ends = [(max(time for time, _ in runs[request_id]), -1) for _, request_id in ran]
+        in_flight = 0
+        for time, change in sorted(starts + ends):
+            in_flight += change
+            if in_flight > limit["underWay"]:
+                self.report("too many under way", f"{limit['name']}: {in_flight} at {time:.3f}")
+                return False
+        return True
+
+    # Logs.
+
+    def check_logs(self, events, most, voters=frozenset()):
+        """Checks that all nodes log the same: one change for each number, in order, within the limits.
+
+        Args:
+            events: (node, event) of all logs.
+            most: How many machines may be out at once.
+            voters: Names of the nodes that vote, as machines.
+        """
+        changes, plans = self._merge_logs(events)
+        if self._accepted_plan and self._accepted_plan not in [plan for plan, _ in plans.values()]:
+            detail = f"plan {self._accepted_plan} was told as taken and is in no log"
+            self.report("told is kept", detail)
+        states = {}
+        for change, state in sorted(changes.items()):
+            self._check_order(change, states.get(change.machine), state)
+            states[change.machine] = state
+            out = [name for name, known in states.items() if known in OUT_STATES]
+            if len(out) > most:
+                self.report("most out", f"{out} under {change.revision}")
+            if len(voters.intersection(out)) > 1:
+                self.report("one voter at a time", f"{out} under {change.revision}")
+        self.event_counts["changes"] += len(changes)
+
+    def _merge_logs(self, events):
+        """Returns the state of each `MachineChange`, and the (plan, state) of each revision."""
+        changes = {}
+        plans = {}
+        for node, event in events:
+            revision = event.get("rev")
+            if event["event"] == "machine":
+                machine = event["machine"]
+                # A node that has missed some learns several at once: each with the number it came by.
+                known = changes.setdefault(MachineChange(revision, machine), event["state"])
+                if known != event["state"]:
+                    seen = (machine, event["state"])
+                    self.report("one value", f"{node} has {seen} under {revision}, others {known}")
+            elif event["event"] == "plan":
+                plan = (event["plan"], event["state"])
+                known = plans.setdefault(revision, plan)
+                if known != plan:
+                    seen = f"{event['plan']} {event['state']}"
+                    self.report("one value", f"{node} has {seen} under {revision}, others {known}")
+        return changes, plans
+
+    def _check_order(self, change, before, state):
+        """Checks a step; of several in one revision the ones between have numbers of their own."""
+        if before and state != "waiting" and state not in FOLLOWING_STATES.get(before, ()):
+            self.report(
+                "order of states", f"{change.machine}: {before}, then {state} under {change.revision}"
+            )
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -6,9 +6,11 @@
 
 import orjson
 import pytest
+from emulators import free_port
 from helpers import dispatcher, pull, rows
+from job_emulators import AcceptingExecutor, send_last_request
 from loguru import logger
-from test_service import EFFECTS, ROW, TERMS, Executor, free_port, one_answer, told
+from node_files import LISTED_ROW, OPERATIONS, SETTINGS, node_file
 
 from grebedyke.model.actions import Fail, Forward, Throttle
 from grebedyke.model.outcome import Effect, Outcome
@@ -79,9 +81,9 @@
     d.listed(10, True, rows(1, 2, 3, 4))
     for now, id, wanted in ((20, 1, Forward), (900, 2, answer)):
         d.taken(now, id, "op", None, now + 50_000, 1_000, 1)
-        assert [type(x) for x in pull(d, now)] == [Forward]
+        assert [type(action) for action in pull(d, now)] == [Forward]
         d.ended(now + 10, id, 0, outcome, False)
-        assert [type(x) for x in pull(d, now + 10)] == [wanted]
+        assert [type(action) for action in pull(d, now + 10)] == [wanted]
 
 
 def assert_within_budget(now, terms, requests, retries):
@@ -147,10 +149,9 @@
 
     def judge(self):
         """Carries out what the node decides; each retry has to be within the budget."""
-        for forward in pull(self.dispatcher, self.now, Forward):
-            id = forward.request_id
-            number = len(self.dispatcher.requests[id].attempts) - 1
-            self.open_attempts.append((id, number))
+        for action in pull(self.dispatcher, self.now, Forward):
+            number = len(self.dispatcher.requests[action.request_id].attempts) - 1
+            self.open_attempts.append((action.request_id, number))
             if number > 0:
                 self.retries.append(self.now)
                 if self.terms.window:
@@ -178,7 +179,7 @@
         state = orjson.loads(orjson.dumps(old.retry_budget.export_state()))
         for request, number in self.open_attempts:
             old.ended(self.now, request, number, Outcome.REJECTED, False)
-        sent = {forward.request_id for forward in pull(old, self.now, Forward)}
+        sent = {action.request_id for action in pull(old, self.now, Forward)}
         assert not self.terms.window or not any(len(old.requests[id].attempts) > 1 for id in sent)
         self.open_attempts = []
         self.dispatcher = dispatcher(budget=self.terms)
@@ -236,7 +237,7 @@
 
 def settings_with(rules):
     """Returns settings with these rules beside the required ones."""
-    return {**TERMS, "rules": {**TERMS["rules"], **rules}}
+    return {**SETTINGS, "rules": {**SETTINGS["rules"], **rules}}
 
 
 def test_complete_settings_are_taken():
@@ -250,14 +251,14 @@
     assert f"settings.rules.{key} " in str(refusal.value) and problem in str(refusal.value)
 
 
-class RejectingExecutor(Executor):
+class RejectingExecutor(AcceptingExecutor):
     """An emulator that turns every job away."""
 
-    async def talk(self, reader, writer):
+    async def serve_connection(self, reader, writer):
         while await reader.readline():
             while await reader.readline() not in (b"\r\n", b""):
                 pass
-            self.seen.put_nowait(1)
+            self.received.put_nowait(1)
             writer.write(b"HTTP/1.1 503 no\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 
 
@@ -292,13 +293,13 @@
     def write(self, rules):
         """Writes the configuration file with these rules."""
         endpoints = [
-            {**ROW, "name": f"s-{number}", "address": executor.address}
+            {**LISTED_ROW, "name": f"s-{number}", "address": executor.address}
             for number, executor in enumerate(self.executors)
         ]
-        settings = {**settings_with(rules), "operations": EFFECTS}
+        settings = {**settings_with(rules), "operations": OPERATIONS}
         known = {"index": 1, "endpoints": endpoints}
         self.file.write_bytes(
-            orjson.dumps(told(listen="%s:%d" % self.address, known=known, settings=settings))
+            orjson.dumps(node_file(listen="%s:%d" % self.address, known=known, settings=settings))
         )
 
     def read(self):
@@ -310,12 +311,12 @@
         self.write(rules)
         self.node.reload()
         before = self._received()
-        for endpoint in self.node.desk.dispatcher.endpoints.healthy:
+        for endpoint in self.node.parts.host.dispatcher.endpoints.healthy:
             # As if it had never rejected anything, so that only the budget limits attempts.
             endpoint.rejected_until = {}
             endpoint.ejected_until = 0
             endpoint.credit = 2.0
-        answer = await one_answer(self.address, "unsafe", request_id)
+        answer = await send_last_request(self.address, "unsafe", request_id)
         assert answer.startswith(b"HTTP/1.1 503 ") and b"HTTP/1.1" not in answer[8:], answer
         return self._received() - before
 
@@ -327,7 +328,7 @@
             executor.server.close()
 
     def _received(self):
-        return sum(executor.seen.qsize() for executor in self.executors)
+        return sum(executor.received.qsize() for executor in self.executors)
 
 
 def test_sighup_adds_changes_and_drops_it_on_sockets(tmp_path):
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -26,11 +26,12 @@
 import msgpack
 import orjson
 import pytest
-from helpers import dispatcher
 
 if __name__ == "__main__":
     sys.path.insert(0, str(Path(__file__).parent.parent))
 
+import helpers
+
 from grebedyke import errors
 from grebedyke.consensus import framing, member_record, records
 from grebedyke.consensus.actions import SendMessage
@@ -47,15 +48,16 @@
     SlotStarted,
 )
 from grebedyke.model.seeded_random import SeededRandom
-from grebedyke.rig import limited, world
 from grebedyke.service import configuration
 from grebedyke.service.assembly import assemble
 from grebedyke.service.configuration.node_schema import NODE_SCHEMA
-from grebedyke.service.handover import Channel
+from grebedyke.service.process_channel import ProcessChannel
+from grebedyke.testbed import simulated_cluster, simulated_limits, simulated_settings
 from grebedyke.units import TICKS_PER_SECOND
 from grebedyke.validation import validate
 from grebedyke.wire import peer_codec
-from grebedyke.wire.discovery import entries
+from grebedyke.wire.endpoint_rows import parse_endpoint_rows
+from grebedyke.wire.request_headers import JobUpdate
 
 GOLDEN = Path(__file__).parent / "data" / "golden"
 
@@ -71,7 +73,6 @@
     "news": SlotProgressed,
     "end": SlotReleased,
 }
-PEER_KINDS = {message: kind for kind, message in PEER_MESSAGES.items()}
 
 
 def pack_datagram(kind, number, *figures):
@@ -80,24 +81,29 @@
 
 def unpack_datagram(body):
     message = peer_codec.decode(body)
-    return message and (PEER_KINDS[type(message)], *message)
+    if message is None:
+        return None
+    kind = next(kind for kind, type_ in PEER_MESSAGES.items() if type(message) is type_)
+    return (kind, *message)
 
 
 def deliver_datagram(sender, body):
-    """The figures with which a datagram reaches the rules in the dispatcher of node 1 of 3."""
+    """What a datagram comes to at the rules of node 1 of 3, each as one list of figures."""
     calls = []
-    receiver = dispatcher(nodes=3, me=1, split=1)
-    tracking = receiver.tracking
-    tracking.started = lambda now, event, start_delay: calls.append((now, *event, start_delay))
-    tracking.progressed = tracking.ended = lambda now, event: calls.append((now, *event))
-    receiver._peer_handlers |= {
-        SlotRequest: lambda now, node, x: calls.append((now, (node, x.number), *x[1:])),
-        SlotGrant: lambda now, node, x: calls.append((now, node, *x)),
-        SlotDenial: lambda now, node, x: calls.append((now, *x)),
+    node = helpers.dispatcher(nodes=3, me=1, split=1)
+    node._peer_handlers |= {
+        SlotRequest: lambda now, by, message: calls.append((now, (by, message.number), *message[1:])),
+        SlotGrant: lambda now, by, message: calls.append((now, by, *message)),
+        SlotDenial: lambda now, by, message: calls.append((now, *message)),
     }
+    node.tracking = SimpleNamespace(
+        started=lambda now, event, start_delay: calls.append((now, *event, start_delay)),
+        progressed=lambda now, event: calls.append((now, *event)),
+        ended=lambda now, event: calls.append((now, *event)),
+    )
     message = peer_codec.decode(body)
-    if message:
-        receiver.handle(1_000, PeerMessageReceived(sender, message))
+    if message is not None:
+        node.handle(1_000, PeerMessageReceived(sender, message))
     return calls
 
 
@@ -143,7 +149,7 @@
 def view_recalled(node, nodes, data):
     """What a node says after a start from its view: its state, the banned machines, and its file again."""
     agreement = agreement_part(node, [0, 1, 2], nodes, 1_000)
-    settings = world.maintenance_settings(TICKS_PER_SECOND, drift=0.02)
+    settings = simulated_settings.maintenance_settings(TICKS_PER_SECOND, drift=0.02)
     part = Maintenance(agreement, "f", node, nodes, 1_000, settings)
     part.restore(0, {"view": data})
     banned = sorted(part.take_exclusions()[0].names)
@@ -157,7 +163,10 @@
 
 def simulated_world(kind):
     """The module and the name of the class of simulated fleets, and the function that plays a round."""
-    module, name = {"maintenance": (world, "World"), "limits": (limited, "LimitedWorld")}[kind]
+    module, name = {
+        "maintenance": (simulated_cluster, "SimulatedCluster"),
+        "limits": (simulated_limits, "LimitedCluster"),
+    }[kind]
     return module, name, module.play
 
 
@@ -167,15 +176,15 @@
     class Tapped(base):
         def __init__(self, *arguments, **shape):
             super().__init__(*arguments, **shape)
-            for host in self.hosts:
+            for host in self.nodes:
                 host.disk.write = partial(self.write, host, host.disk.write)
 
-        def carry(self, sender, receiver, message):
+        def send(self, sender, receiver, message):
             tape.sent(self.now, sender, receiver, msgpack.packb(message))
-            super().carry(sender, receiver, message)
+            super().send(sender, receiver, message)
 
         def write(self, host, write, name, data):
-            tape.kept(self.now, host.me, name, data)
+            tape.kept(self.now, host.node_id, name, data)
             write(name, data)
 
     return Tapped
@@ -183,20 +192,20 @@
 
 def operators_call(fleet, node, method, path, body=None):
     """An operator's call at one node of a simulated fleet; its answers are added to the list returned."""
-    answers, host = [], fleet.hosts[node]
-    part = next(part for part in host.parts if path.startswith(part.call_paths))
+    answers, host = [], fleet.nodes[node]
+    part = next(part for part in host.components if path.startswith(part.call_paths))
     part.operator_call(host.clock(), lambda *answer: answers.append(answer), method, path, body)
-    host.pull()
+    host.run_components()
     return answers
 
 
 def members_round(make_world):
     """A fleet without faults in which a plan runs while one voter is taken out and another is added."""
     fleet, told = make_world(7, faults=0), {}
-    fleet.open()
-    fleet.later(1, fleet.operate)
+    fleet.start_all()
+    fleet.schedule(1, fleet.operators.operate)
     fleet.run(3 * TICKS_PER_SECOND)
-    fleet.call(b"/v1/maintenance/plan", MAINTENANCE_PLAN)
+    fleet.operators.call(b"/v1/maintenance/plan", MAINTENANCE_PLAN)
     fleet.run(5 * TICKS_PER_SECOND)
     for seconds, change in ((8, b"remove/2"), (11, b"add/3"), (14, b"add/2")):
         operators_call(fleet, 0, b"POST", b"/v1/agreement/" + change)
@@ -209,7 +218,7 @@
     fleet.run(20 * TICKS_PER_SECOND)
     # Proposers that know older members, or newer ones: the two refusals that no drawn round shows.
     for node, epoch, members in ((0, 0, [0, 1, 2]), (1, 99, [0, 2])):
-        fleet.hosts[node].heard(2, ["p", "board", [1_000, 2, 77], epoch, members])
+        fleet.nodes[node].receive(2, ["p", "board", [1_000, 2, 77], epoch, members])
     fleet.run(21 * TICKS_PER_SECOND)
     return told
 
@@ -228,67 +237,76 @@
         said = validate(NODE_SCHEMA, {**NODE_FILE, "folder": str(folder), "known": known})
         said["settings"] = configuration.check_settings(said["settings"])
         self.loop, self.node = loop, assemble(loop, said, lambda: said, clock=lambda: self.NOW)
-        self.node.turn.marks.extend([self.NOW] * 3)
-        self.node.desk.shift = self.NOW - 50_000
-        self.node.desk.listed(self.NOW, True, entries(known))
-        self.handover = self.node.handover
+        self.node.parts.batch.pass_times.extend([self.NOW] * 3)
+        self.node.parts.host.endpoint_updates.unix_time_offset = self.NOW - 50_000
+        self.node.parts.host.endpoint_updates.on_list(self.NOW, True, parse_endpoint_rows(known))
+        self.hot_restart = self.node.parts.hot_restart
 
     async def listen(self, inherited=None):
-        await self.node.door.listen(self.loop, "127.0.0.1", 0, inherited)
+        await self.node.parts.listener.listen(self.loop, "127.0.0.1", 0, inherited)
 
     def work(self):
         """Some invocations, forwards that fail, and a ban: all that the books tell of."""
-        dispatcher, now = self.node.desk.dispatcher, self.NOW
+        dispatcher, now = self.node.parts.host.dispatcher, self.NOW
         for i, operation in enumerate(["op", "safe", "op", "safe"]):
             id = b"r%d" % i
-            then = now + i * TICKS_PER_SECOND
-            dispatcher.handle(then, RequestArrived(id, operation, "t", now + 90_000))
-            self.decisions(then)
-            dispatcher.handle(then + 5, AttemptEnded(id, 0, Outcome.CONNECT_FAILED, False))
-            self.decisions(then + 5)
-        self.node.desk.by_hand(now, "s-2", True)
+            request = RequestArrived(id, operation, "t", now + 90_000, 0, 1)
+            dispatcher.handle(now + i * TICKS_PER_SECOND, request)
+            self.decisions(now + i * TICKS_PER_SECOND)
+            end = AttemptEnded(id, 0, Outcome.CONNECT_FAILED, False, None)
+            dispatcher.handle(now + i * TICKS_PER_SECOND + 5, end)
+            self.decisions(now + i * TICKS_PER_SECOND + 5)
+        self.node.parts.host.endpoint_updates.set_banned(now, "s-2", True)
 
     def decisions(self, now):
-        return [*iter(partial(self.node.desk.dispatcher.next_action, now), None)]
+        return [*iter(partial(self.node.parts.host.dispatcher.next_action, now), None)]
 
     def books(self):
-        return self.node.desk.books()
+        return self.node.parts.host.endpoint_updates.export_state()
 
     def banned(self):
-        return sorted(self.node.desk.dispatcher.endpoints.banned)
+        return sorted(self.node.parts.host.dispatcher.endpoints.banned)
 
     def list_index(self):
-        return self.node.watch.index
+        return self.node.parts.discovery.version
 
     def clients(self):
-        return [[client.good, client.caller] for client in self.node.door.clients]
+        return [[one.proven, one.is_executor] for one in self.node.parts.listener.connections.accepted]
 
     def say_all(self):
         """Each kind of word to the other process."""
-        self.node.console.by_hand(self.NOW, "s-1", True)
-        self.node.console.by_hand(self.NOW, "s-2", False)
-        self.node.desk.news(self.NOW, "r7", "s-1", "done", b"42\xc3\xa9", {"x0": 2, "rif": 1.5})
-        self.node.desk.news(self.NOW, "r8", "s-1", "started", b"")
+        self.node.parts.admin_api.set_banned(self.NOW, "s-1", True)
+        self.node.parts.admin_api.set_banned(self.NOW, "s-2", False)
+        self.node.parts.host.job_updates.on_update(
+            self.NOW, JobUpdate("r7", "s-1", "done", b"42\xc3\xa9", {"x0": 2, "rif": 1.5})
+        )
+        self.node.parts.host.job_updates.on_update(self.NOW, JobUpdate("r8", "s-1", "started", b""))
         self.node.reload()
 
     def give_client(self, sock, good, caller):
         transport = SimpleNamespace(get_extra_info=lambda name: sock)
-        self.node.hand(SimpleNamespace(transport=transport, good=good, caller=caller, abort=lambda: None))
+        self.node.parts.process_messages.hand_over(
+            SimpleNamespace(transport=transport, proven=good, is_executor=caller, abort=lambda: None)
+        )
 
     def record_words(self):
         """What the other process says of call-backs and reloads, in place of what would follow."""
         heard = []
-        self.node.desk.news = lambda now, *what: heard.append(["news", *what])
+        self.node.parts.host.job_updates.on_update = lambda now, update, *ours: heard.append(
+            ["news", *update, *ours]
+        )
         self.node.reload = lambda passed_on: heard.append(["reload", passed_on])
         return heard
 
     def close(self):
-        self.handover.close()
-        self.node.door.shut()
+        self.hot_restart.close()
+        self.node.parts.listener.close()
 
 
 def line(loop, sock, heard):
-    return Channel(loop, sock, lambda channel, message, descriptors: heard.append(message), lambda _: None)
+    return ProcessChannel(
+        loop, sock, lambda channel, message, descriptors: heard.append(message), lambda _: None
+    )
 
 
 # Samples as text.
@@ -672,7 +690,7 @@
     process = Process(loop, folder, KNOWN)
     await process.listen()
     process.work()
-    process.handover.offer()
+    process.hot_restart.offer()
     with seqpacket() as sock, socket.socket() as client:
         sock.connect(str(Path(folder) / LINE_NAME))
         far = FarEnd(loop, sock)
@@ -681,7 +699,7 @@
         process.say_all()
         said["words"] = await far.read(5)
         far.write(ready)
-        await until(lambda: process.handover.ready)
+        await until(lambda: process.hot_restart.successor_is_ready)
         process.give_client(client, True, False)
         process.give_client(client, False, True)
         said["client"] = await far.read(2)
@@ -700,7 +718,7 @@
         peer.connect(listening.getsockname())
         client = listening.accept()[0]
         process = Process(loop, folder, {"index": 1, "endpoints": []})
-        inherits = loop.create_task(process.handover.inherit())
+        inherits = loop.create_task(process.hot_restart.inherit())
         server.setblocking(False)
         with (await loop.sock_accept(server))[0] as sock, client:
             far = FarEnd(loop, sock)
@@ -712,7 +730,7 @@
             await until(process.banned)
             found["index of the list"], found["banned"] = process.list_index(), process.banned()
             found["books"] = process.books()
-            process.handover.offer()
+            process.hot_restart.offer()
             said["ready"] = await far.read(1)
             heard = process.record_words()
             for packet in sent["words"][0]:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -12,8 +12,8 @@
 from grebedyke.consensus.messages import Accepted
 from grebedyke.maintenance.rollout import Rollout
 from grebedyke.model.seeded_random import SeededRandom
-from grebedyke.rig import broken
-from grebedyke.rig.world import World
+from grebedyke.testbed import broken_builds
+from grebedyke.testbed.simulated_cluster import SimulatedCluster
 
 ROUND_TIMEOUT = 500
 STEP = 100
@@ -155,7 +155,7 @@
     It had been told the others' incarnations and not their vote counts, so that both together had forgotten.
     """
     assert not older_copy_votes()
-    with broken.build("who is let in again does not hear how far the others are"):
+    with broken_builds.build("who is let in again does not hear how far the others are"):
         assert older_copy_votes()
 
 
@@ -243,36 +243,36 @@
     past = group.voters[1].acceptor.incarnation
     rejoined = {1: Incarnation(past.number + 1, 77)}
     of_second = group.voters[2].acceptor.incarnation
-    with broken.build(build) if build else nullcontext():
+    with broken_builds.build(build) if build else nullcontext():
         proposer.on_accepted(now, 1, Accepted("k", round_.ballot, past, {}, 5))
         proposer.on_accepted(now, 2, Accepted("k", round_.ballot, of_second, rejoined, 6))
     assert bool(results) == bool(build)
 
 
 def test_members_change_one_at_a_time_and_all_values_come_along():
-    world = World(3, nodes=5, faults=0)
-    for host in world.hosts:
+    world = SimulatedCluster(3, nodes=5, faults=0)
+    for host in world.nodes:
         host.start()
     world.run(20_000)
-    members = [host.parts[0] for host in world.hosts]
+    members = [host.components[0] for host in world.nodes]
     answers = []
     members[4].propose(
-        world.hosts[4].clock(),
+        world.nodes[4].clock(),
         "board",
         lambda value: (Rollout().encode(), True),
         lambda now, result: answers.append(result),
     )
-    world.hosts[4].pull()
+    world.nodes[4].run_components()
     world.run(40_000)
     for path in (b"add/3", b"remove/0", b"add/4"):
         members[1].operator_call(
-            world.hosts[1].clock(),
+            world.nodes[1].clock(),
             lambda *answer: answers.append(answer),
             b"POST",
             b"/v1/agreement/" + path,
             None,
         )
-        world.hosts[1].pull()
+        world.nodes[1].run_components()
         world.run(world.now + 60_000)
     assert answers == [True, (200, "done"), (200, "done"), (200, "done")]
     assert [member.members for member in members] == [[1, 2, 3, 4]] * 5
--- a/tests/test_fleetlog.py
+++ b/tests/test_fleetlog.py
@@ -5,7 +5,7 @@
 from grebedyke.commands.main import cli
 from grebedyke.fleetlog.parsing import parse_line
 from grebedyke.fleetlog.totals import COLUMNS, FleetTotals
-from grebedyke.service.log import Gauges
+from grebedyke.service.metrics import Metrics
 
 
 def line(second, node, message, level="INFO"):
@@ -59,7 +59,7 @@
 
 def test_all_that_a_node_counts_has_its_column():
     # A counter that the node gains and the tool drops would pass for nothing having happened.
-    assert {*Gauges().counts} - {*COLUMNS} == {"crowded", "odd", "faults"}
+    assert {*Metrics().counts} - {*COLUMNS} == {"crowded", "odd", "faults"}
 
 
 def test_the_command_reads_folders_and_writes_csv(tmp_path):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -24,13 +24,13 @@
 from grebedyke.rate_limits.messages import PlaceAnswer, PlaceRequest, ShareGrant, ShareRequest
 from grebedyke.rate_limits.request_limiter import RequestLimiter
 from grebedyke.rate_limits.token_bucket import TokenBucket
-from grebedyke.rig import broken, limited, rounds
-from grebedyke.rig.fleet import Rig
-from grebedyke.rig.judge import Judge
+from grebedyke.testbed import broken_builds, simulated_limits, trial
+from grebedyke.testbed.process_cluster import ProcessCluster, ProcessClusterSettings
+from grebedyke.testbed.trial_checker import TrialChecker
 from grebedyke.validation import validate
 
 # Ten requests a second, a burst of ten.
-LIMIT = Limit("l", LimitKind.RATE, 10_000, 10, 0, None, None, False)
+LIMIT = Limit("l", LimitKind.RATE, size=10_000, burst=10)
 
 # Drawn rounds.
 
@@ -45,9 +45,11 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_no_drawn_round_lets_more_through_than_the_limits(seed):
     """Links, processes and disks fail, demand moves and limits change: never more is admitted in all."""
-    violations, world = limited.play(seed, **SHAPES[seed % len(SHAPES)])
+    violations, cluster = simulated_limits.play(seed, **SHAPES[seed % len(SHAPES)])
     assert not violations
-    assert world.done["went through"] > 1_000 and any(world.done[kind] for kind in limited.LIMIT_FAULTS)
+    assert cluster.event_counts["went through"] > 1_000 and any(
+        cluster.event_counts[kind] for kind in simulated_limits.LIMIT_FAULTS
+    )
 
 
 # By broken build, where a drawn round shows it: the shape, and a seed.
@@ -63,8 +65,8 @@
 def test_broken_builds_are_caught_by_drawn_rounds():
     """Each of these builds admits more than a limit in one of four rounds; use in calm does not count."""
     for name, (which, first) in CAUGHT.items():
-        with broken.build(name):
-            plays = (limited.play(seed, **SHAPES[which])[0] for seed in range(first, first + 4))
+        with broken_builds.build(name):
+            plays = (simulated_limits.play(seed, **SHAPES[which])[0] for seed in range(first, first + 4))
             clauses = (clause for violations in plays for _, clause, _ in violations)
             assert any(clause != "the limit is used" for clause in clauses), name
 
@@ -120,21 +122,25 @@
 
 def a_restart_brings_no_burst():
     """Else a process that is restarted often would admit a burst each time."""
-    limit = Limit("l", LimitKind.RATE, 8_000, 80, 1_000, None, None, False)
-    bucket = TokenBucket(limit, LeaseTerms(4, 800, 0.02, 0), 50)
+    limit = Limit("l", LimitKind.RATE, size=8_000, burst=80, floor=1_000)
+    bucket = TokenBucket(limit, LeaseTerms(node_count=4, lease=800, clock_drift=0.02, run_on=0), 50)
     return not bucket.has_capacity(60)
 
 
 def slots_of_a_former_process_are_waited_out():
     """What a former process admitted under the floor may still run on executors."""
-    limit = Limit("l", LimitKind.CONCURRENCY, 8, 0, 1, None, None, False)
-    limiter = ConcurrencyLimiter(limit, LeaseTerms(4, 800, 0.02, 500), 1_000)
+    limit = Limit("l", LimitKind.CONCURRENCY, size=8, floor=1)
+    limiter = ConcurrencyLimiter(
+        limit, LeaseTerms(node_count=4, lease=800, clock_drift=0.02, run_on=500), 1_000
+    )
     return not limiter.has_capacity(1_500) and limiter.has_capacity(1_530)
 
 
 def what_may_have_been_received_counts():
     """Three requests of one process, whose answers may all be under way (100, 55, 55); then another one's."""
-    table = AllocationTable(LimitKind.RATE, 100, 0, AllocationTimes(1, 1_000, 0))
+    table = AllocationTable(
+        LimitKind.RATE, 100, 0, AllocationTimes(recompute_interval=1, grant_lifetime=1_000, run_on=0)
+    )
     table.record_usage(0, "a", 0, 100, 0)
     table.record_usage(0, "b", 0, 0, 0)
     first = table.grant(0, "a", 1)
@@ -176,10 +182,10 @@
 
 def test_broken_builds_are_caught_by_hand():
     """Each broken build is caught by a drawn round or by the case that bears on it, which else holds."""
-    assert {*CAUGHT} | {*BY_HAND} == {*broken.LIMITS}
+    assert {*CAUGHT} | {*BY_HAND} == {*broken_builds.LIMITS}
     for name, holds in BY_HAND.items():
         assert holds(), name
-        with broken.build(name):
+        with broken_builds.build(name):
             assert not holds(), name
 
 
@@ -228,56 +234,56 @@
         assert messages.encode(message) == wire_form
         assert messages.decode([*wire_form, "of a later build"]) == message
     limits = [
-        Limit("t", LimitKind.RATE, 30_000, 15, 1_000, "t", None, False),
-        Limit("pay", LimitKind.CONCURRENCY, 4, 0, 0, None, "confirm", True),
-        Limit("again", LimitKind.RATE, 5_000, 10, 0, None, "confirm", False, True),
+        Limit("t", LimitKind.RATE, size=30_000, burst=15, floor=1_000, tenant="t"),
+        Limit("pay", LimitKind.CONCURRENCY, size=4, operation="confirm", soft=True),
+        Limit("again", LimitKind.RATE, size=5_000, burst=10, operation="confirm", on_retries=True),
     ]
     assert fingerprint(limits) == fingerprint(limits[::-1]) == 2_002_233_227
     assert [limit.wire_id for limit in limits] == [11350, 3454, 754]
 
 
-def first_of(d, now):
+def first_of(policy, now):
     """The first forward or throttle: its type and its request."""
-    first = pull(d, now, Forward, Throttle)[0]
+    first = pull(policy, now, Forward, Throttle)[0]
     return type(first), first.request_id
 
 
-def throttled(d, now):
+def throttled(policy, now):
     """All throttles, where nothing is forwarded."""
-    found = pull(d, now, Forward, Throttle)
-    assert all(isinstance(x, Throttle) for x in found)
+    found = pull(policy, now, Forward, Throttle)
+    assert all(isinstance(action, Throttle) for action in found)
     return found
 
 
 def test_what_is_over_is_throttled_at_once_and_a_slot_outlasts_its_client():
     """A client that leaves ends no work: its request keeps its slot, and whoever comes next is throttled."""
-    d = dispatcher(effect=Effect.IDEMPOTENT, back=20_000)
-    d.listed(10, True, rows("e1", "e2"))
+    policy = dispatcher(effect=Effect.IDEMPOTENT, back=20_000)
+    policy.listed(10, True, rows("e1", "e2"))
     terms = LeaseTerms(node_count=1, lease=8_000, clock_drift=0.0, run_on=0)
-    pay = Limit("pay", LimitKind.CONCURRENCY, 1, 0, 1, None, "op", False)
-    d.quotas.limits = RequestLimiter([pay], terms, -100_000)
-    d.taken(100, "first", "op", "t", 50_000, 0, 1)
-    assert first_of(d, 100) == (Forward, "first")
-    d.taken(200, "second", "op", "t", 50_000, 0, 1)
-    assert throttled(d, 200) == [Throttle("second", 2_500)]
+    pay = Limit("pay", LimitKind.CONCURRENCY, size=1, floor=1, operation="op")
+    policy.quotas.limits = RequestLimiter([pay], terms, -100_000)
+    policy.taken(100, "first", "op", "t", 50_000, 0, 1)
+    assert first_of(policy, 100) == (Forward, "first")
+    policy.taken(200, "second", "op", "t", 50_000, 0, 1)
+    assert throttled(policy, 200) == [Throttle("second", 2_500)]
     # Its client leaves; the work goes on, and so does its slot.
-    d.left(300, "first")
-    d.taken(400, "third", "op", "t", 50_000, 0, 1)
-    assert throttled(d, 400) == [Throttle("third", 2_500)]
-    d.ended(500, "first", 0, Outcome.SUCCEEDED, True)
-    d.taken(600, "fourth", "op", "t", 50_000, 0, 1)
-    assert first_of(d, 600) == (Forward, "fourth")
+    policy.left(300, "first")
+    policy.taken(400, "third", "op", "t", 50_000, 0, 1)
+    assert throttled(policy, 400) == [Throttle("third", 2_500)]
+    policy.ended(500, "first", 0, Outcome.SUCCEEDED, True)
+    policy.taken(600, "fourth", "op", "t", 50_000, 0, 1)
+    assert first_of(policy, 600) == (Forward, "fourth")
     # Retries have a limit of their own: without one left a request is given up at once.
-    again = Limit("again", LimitKind.RATE, 1_000, 1, 1_000, None, "op", False, True)
-    d.quotas.limits = RequestLimiter([again], terms, 0)
-    d.taken(20_000, "fifth", "op", "t", 70_000, 0, 1)
-    for now, n in ((20_000, 0), (20_100, 1)):
-        assert first_of(d, now) == (Forward, "fifth")
-        d.ended(now + 50, "fifth", n, Outcome.NEVER_SENT, False)
-    assert first_of(d, 20_200) == (Throttle, "fifth")
+    again = Limit("again", LimitKind.RATE, size=1_000, burst=1, floor=1_000, operation="op", on_retries=True)
+    policy.quotas.limits = RequestLimiter([again], terms, 0)
+    policy.taken(20_000, "fifth", "op", "t", 70_000, 0, 1)
+    for now, attempt in ((20_000, 0), (20_100, 1)):
+        assert first_of(policy, now) == (Forward, "fifth")
+        policy.ended(now + 50, "fifth", attempt, Outcome.NEVER_SENT, False)
+    assert first_of(policy, 20_200) == (Throttle, "fifth")
     # A soft one only marks what is over: it comes behind the rest.
-    d.quotas.limits = RequestLimiter([pay._replace(soft=True, size=1)], terms, -100_000)
-    soft = [d.taken(700 + i, f"soft{i}", "op", "t", 50_000, 0, 1).over_quota for i in range(2)]
+    policy.quotas.limits = RequestLimiter([pay._replace(soft=True, size=1)], terms, -100_000)
+    soft = [policy.taken(700 + i, f"soft{i}", "op", "t", 50_000, 0, 1).over_quota for i in range(2)]
     assert soft == [False, True]
 
 
@@ -317,46 +323,46 @@
 # Real processes.
 
 
-async def lease_holder(rig):
+async def lease_holder(cluster):
     """The name of the node that holds the limits, and its term, once there is one."""
     while True:
-        for name in rig.nodes:
-            status, answer = await rig.call(name, "GET", "/v1/limits", wait=1.0)
+        for name in cluster.nodes:
+            status, answer = await cluster.call(name, "GET", "/v1/limits", timeout=1.0)
             if status == 200 and json.loads(answer)["holds"]:
                 return name, json.loads(answer)["term"]
         await asyncio.sleep(0.05)
 
 
-async def shown_by_command(rig):
+async def shown_by_command(cluster):
     """What `grebedyke limits` shows of one node."""
     return await asyncio.to_thread(
-        CliRunner().invoke, cli, ["limits", "--node", "%s:%d" % rig.consoles["n0"]]
+        CliRunner().invoke, cli, ["limits", "--node", "%s:%d" % cluster.admin_addresses["n0"]]
     )
 
 
-async def lose_holder_and_halve(rig, first_holder, limits, clients):
+async def lose_holder_and_halve(cluster, first_holder, limits, clients):
     """Offers 85 requests a second, kills the holder, starts it again and halves the limit in all files.
 
     Returns:
         The next holder with its term, and each node's row of the first limit.
     """
-    shape = LoadShape(operations=rounds.OPERATIONS, rate=85, seconds=14, mean_work=0.03)
+    shape = LoadShape(operations=trial.OPERATIONS, rate=85, seconds=14, mean_work=0.03)
     plan = draw_arrivals(77, shape)
     load = asyncio.ensure_future(clients.play(plan))
     await asyncio.sleep(3)
-    await rig.end(first_holder)
-    second = await lease_holder(rig)
-    await rig.again(first_holder)
-    rig.shares = [{**limits[0], "rate": 15}, limits[1]]
-    for name in rig.nodes:
-        rig.reload(name, lambda told: None)
+    await cluster.end(first_holder)
+    second = await lease_holder(cluster)
+    await cluster.restart(first_holder)
+    cluster.limits = [{**limits[0], "rate": 15}, limits[1]]
+    for name in cluster.nodes:
+        cluster.reload(name)
     await asyncio.sleep(3)
     # As operators see it; a node whose share is old says how old.
-    shown = await shown_by_command(rig)
+    shown = await shown_by_command(cluster)
     assert shown.exit_code == 0 and "holder node" in shown.output and "15 a second" in shown.output
     shares = []
-    for name in rig.nodes:
-        _, answer = await rig.call(name, "GET", "/v1/limits")
+    for name in cluster.nodes:
+        _, answer = await cluster.call(name, "GET", "/v1/limits")
         shares.append(json.loads(answer)["limits"][0])
     await load
     return second, shares
@@ -370,21 +376,24 @@
     ]
 
     async def story():
-        rig = Rig(rounds.OPERATIONS, 3, 6, seed=77, shares=limits)
+        settings = ProcessClusterSettings(
+            operations=trial.OPERATIONS, nodes=3, executors=6, seed=77, limits=limits
+        )
+        cluster = ProcessCluster(settings)
         try:
-            await rig.start()
-            first = await lease_holder(rig)
-            clients = OpenLoopClients(rig.nodes, seed=77, retries=0)
-            second, shares = await lose_holder_and_halve(rig, first[0], limits, clients)
-            rig.report_to(clients.ledger)
-            judge = Judge()
-            judge.limits(clients.ledger, limits, rounds.LATE)
-            return first, second, shares, clients.ledger.counts(), judge
+            await cluster.start()
+            first = await lease_holder(cluster)
+            clients = OpenLoopClients(cluster.nodes, seed=77, retries=0)
+            second, shares = await lose_holder_and_halve(cluster, first[0], limits, clients)
+            cluster.report_to(clients.ledger)
+            checker = TrialChecker()
+            checker.check_limits(clients.ledger, limits, trial.LONGEST_QUEUE_TIME)
+            return first, second, shares, clients.ledger.counts(), checker
         finally:
-            await rig.close()
+            await cluster.close()
 
-    first, second, shares, counts, judge = asyncio.run(asyncio.wait_for(story(), 90))
+    first, second, shares, counts, checker = asyncio.run(asyncio.wait_for(story(), 90))
     assert second[0] != first[0] and second[1] > first[1]
     assert {row["limit"] for row in shares} == {15}
     assert sum(row["share"] + row["floor"] for row in shares) <= 15
-    assert not judge.broken and counts["throttled"] > 100 and counts["succeeded"] > 60
+    assert not checker.violations and counts["throttled"] > 100 and counts["succeeded"] > 60
