--- a/grebedyke/testbed/demand_generator.py
+++ b/grebedyke/testbed/demand_generator.py
@@ -55,7 +55,7 @@
     What is admitted runs on whatever becomes of its node meanwhile.
 
     Attributes:
-        batch_loop: The node's `Turn`; replaced when the node starts anew.
+        batch_loop: The node's `BatchLoop`; replaced when the node starts anew.
     """
 
     def __init__(self, loop, probe, batch_loop, tenants, settings, admissions):
@@ -64,7 +64,7 @@
         Args:
             loop: The event loop.
             probe: The node's `NodeProbe`.
-            batch_loop: The node's `Turn`.
+            batch_loop: The node's `BatchLoop`.
             tenants: Names of the tenants whose requests come in at this node.
             settings: The `DemandSettings`.
             admissions: Counts the admitted requests by (tenant, span, `STARTED` or `ENDED`).
@@ -101,7 +101,7 @@
         for tenant in self._tenants:
             self._request(limiters[0], tenant)
         # As after any input: a node that has no share and is asked for some requests it at once.
-        self.batch_loop.hurry()
+        self.batch_loop.schedule()
 
     def _request(self, limiter, tenant):
         now = self.batch_loop.clock()
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -26,7 +26,7 @@
         transport = node.send_request(data).transport
         assert transport.written.startswith(b"HTTP/1.1 %d " % status), data
         assert (transport.ended_sending or transport.closing) == is_last
-        assert not node.desk.owed and not node.dispatcher.events
+        assert not node.host.requests.pending and not node.dispatcher.events
 
 
 def test_a_response_to_a_message_cut_short_is_not_reset_by_what_still_comes():
@@ -39,7 +39,7 @@
     assert client.transport.written.startswith(b"HTTP/1.1 413") and not client.transport.closing
     receive(client, b"x" * 70_000, 999)
     assert client.transport.written.count(b"HTTP/1.1") == 1 and not client.ring.used
-    _, _, call, arguments = node.turn.limits[0]
+    _, _, call, arguments = node.batch.timers[0]
     call(0, *arguments)
     assert client.transport.closing
 
@@ -70,7 +70,7 @@
     receive(third, request(3))
     node.run()
     assert third.transport.written.startswith(b"HTTP/1.1 503") and third.transport.closing
-    assert b"r3" not in node.desk.owed
+    assert b"r3" not in node.host.requests.pending
     third.connection_lost(None)
     node.act(Fail(b"r1"), now=0)
     fresh = node.client()  # over the limit again: the one that is between two messages makes room
@@ -89,7 +89,7 @@
     ):
         node = SocketlessNode(max_connections=1)
         client = node.send_request()
-        node.desk.do(NOW, Fail(b"r1"))
+        node.host.perform(NOW, Fail(b"r1"))
         close(node)
         node.run()
         assert client.transport.closing and client.transport.written.startswith(b"HTTP/1.1 500")
@@ -121,7 +121,7 @@
         newcomer = node.send_request(request(2))
         closed = [name for name, connection in crowd if connection.transport.closing]
         assert closed == expected, (silent, checking, age)
-        assert b"r2" in node.desk.owed
+        assert b"r2" in node.host.requests.pending
         assert not proven.transport.closing and not newcomer.transport.closing
 
 
@@ -141,7 +141,7 @@
     for number in range(4):
         clients.append(receive(node.client(), request(number)))
         if number != 1:
-            node.desk.do(NOW, Fail(b"r%d" % number))
+            node.host.perform(NOW, Fail(b"r%d" % number))
         node.run()
     assert [client.transport.closing for client in clients] == [True, False, True, False]
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -11,7 +11,7 @@
 from grebedyke.model.events import AttemptEnded, EndpointsChanged, RequestArrived
 from grebedyke.model.outcome import Outcome
 from grebedyke.service import configuration
-from grebedyke.service.assembly import paced, parts_of
+from grebedyke.service.node_settings import node_settings, with_fitting_interval
 from grebedyke.service.reload import reload
 from grebedyke.wire.client_listener import ListenerSettings
 
@@ -49,7 +49,7 @@
     node = SocketlessNode()
     client = receive(node.client(), REQUEST.replace(b"/op/k", b"/op/k" + odd + b"X:y"))
     node.run()
-    assert client.transport.written.startswith(b"HTTP/1.1 400") and not node.desk.owed
+    assert client.transport.written.startswith(b"HTTP/1.1 400") and not node.host.requests.pending
 
 
 def test_clients_that_go_on_with_a_longer_time_are_taken_and_answered_by_the_shorter():
@@ -61,7 +61,7 @@
         client = receive(node.client(), REQUEST.replace(b"r1", b"r%d" % wait).replace(b"4000", b"%d" % wait))
         node.run()
         assert [x.deadline for x in node.dispatcher.events if isinstance(x, RequestArrived)] == (
-            [NOW + min(wait * 10, 20_000) - node.desk.margin] if taken else []
+            [NOW + min(wait * 10, 20_000) - node.host.requests.settings.response_margin] if taken else []
         ), wait
         assert client.transport.written.startswith(b"HTTP/1.1 400") == (not taken)
 
@@ -88,7 +88,7 @@
 )
 def test_short_client_timeouts_leave_time_for_a_forward(tick, shortest, left):
     # Steps of four ticks each before the due time ate 100 ms at ticks of 10 ms: nearly all was given up.
-    terms = paced(
+    terms = with_fitting_interval(
         configuration.terms(
             {
                 **SETTINGS,
@@ -100,7 +100,8 @@
             }
         )
     )
-    _, desk, _, _ = parts_of(terms)
-    margin, step = desk[4:6]
+    requests = node_settings(terms).requests
+    margin = requests.response_margin
+    step = requests.scheduling_interval
     assert shortest * 10 - margin - 4 * step >= left * 10 - 50, (margin, step)
     assert step <= tick * 10
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -76,7 +76,7 @@
         assert node.outcomes() == ([outcome] if outcome else []), story
         assert in_response in client.transport.written
         assert client.transport.written.count(b"HTTP/1.1") == bool(in_response)
-        assert bool(node.desk.owed) == (outcome != Outcome.SUCCEEDED)
+        assert bool(node.host.requests.pending) == (outcome != Outcome.SUCCEEDED)
 
 
 def test_never_ran_only_while_the_last_byte_is_not_with_the_kernel():
@@ -105,10 +105,10 @@
     """A connection ends between the decision to use it and the end of the batch."""
     node = SocketlessNode()
     node.send_request()
-    node.desk.do(NOW, Forward(b"r1", "s-1", 9_000))
+    node.host.perform(NOW, Forward(b"r1", "s-1", 9_000))
     connection = node.connections[0]
     connection.transport.closing = True
-    node.turn.run()
+    node.batch.run_batch()
     connection.connection_lost(None)
     node.run()
     assert node.outcomes() == [Outcome.CONNECT_FAILED] and not connection.transport.written
@@ -194,7 +194,7 @@
         for response in responses:
             receive(connection, response)
             node.run()
-        node.desk.overdue(0, node.desk.owed[b"r1"].flights[0])
+        node.host.attempts.end_overdue(0, node.host.requests.pending[b"r1"].attempts[0])
         node.run()
         assert node.outcomes() == [outcome]
         assert connection.transport.closing == closing
@@ -219,7 +219,9 @@
             receive(node.client() if answer.startswith(b"POST") else connection, answer)
             node.run()
         other = node.connect_executor()
-        for _, _, call, arguments in [limit for limit in node.turn.limits if limit[2] == node.desk.unheard]:
+        for _, _, call, arguments in [
+            limit for limit in node.batch.timers if limit[2] == node.host.attempts.end_unacknowledged
+        ]:
             call(NOW + 5_000, *arguments)
         node.run()
         # Sent again before the executor knows that it is given up, it could be a second copy.
@@ -239,10 +241,12 @@
     """
     for latest, expected in ((NOW + 20_000, [ClientLeft, AttemptEnded]), (None, [AttemptEnded])):
         node = SocketlessNode()
-        node.desk.latest = latest
+        node.host.requests.shutdown_at = latest
         client = node.send_request()
         node.forward(allowed=39_000 if latest else 9_000)
-        when, _, call, arguments = next(limit for limit in node.turn.limits if limit[2] == node.desk.overdue)
+        when, _, call, arguments = next(
+            limit for limit in node.batch.timers if limit[2] == node.host.attempts.end_overdue
+        )
         call(when, *arguments)
         node.run()
         assert [type(event) for event in node.dispatcher.events[1:]] == expected
@@ -275,7 +279,7 @@
             receive(connection, CANCEL_CONFIRMED)
         node.run()
         assert node.outcomes() == outcomes
-        _, _, call, arguments = max(node.turn.limits, key=lambda limit: limit[1])  # silence has a limit
+        _, _, call, arguments = max(node.batch.timers, key=lambda limit: limit[1])  # silence has a limit
         call(0, *arguments)
         node.run()
         assert node.outcomes() == (outcomes or [Outcome.CANCELLED])
@@ -289,11 +293,11 @@
     for name, allowed, outcome in (("s-9", 9_000, Outcome.CONNECT_FAILED), ("s-1", 0, Outcome.NEVER_SENT)):
         node = SocketlessNode()
         node.send_request()
-        node.desk.do(NOW, Forward(b"r1", name, allowed))
+        node.host.perform(NOW, Forward(b"r1", name, allowed))
         if allowed:
             node.forward()
         else:
-            node.desk.overslept(0, node.desk.owed[b"r1"])
+            node.host.requests.fail_unanswered(0, node.host.requests.pending[b"r1"])
         node.run()
         assert node.attempt_ends() == [(b"r1", 0, outcome, not allowed)]
 
@@ -306,9 +310,9 @@
     client.eof_received()
     client.connection_lost(None)
     node.run()
-    assert ClientLeft(b"r1") in node.dispatcher.events and node.desk.owed[b"r1"].body is None
+    assert ClientLeft(b"r1") in node.dispatcher.events and node.host.requests.pending[b"r1"].body is None
     node.report(call_back_message("done"))
-    assert not client.transport.written and not node.desk.owed
+    assert not client.transport.written and not node.host.requests.pending
     assert node.attempt_ends() == [(b"r1", 0, Outcome.SUCCEEDED, True)]
 
 
@@ -317,10 +321,10 @@
     node = SocketlessNode()
     client = node.send_request()
     node.forward()
-    node.desk.overslept(0, node.desk.owed[b"r1"])
+    node.host.requests.fail_unanswered(0, node.host.requests.pending[b"r1"])
     node.run()
-    assert client.transport.written.startswith(b"HTTP/1.1 500") and not node.desk.owed
-    node.desk.do(0, Throttle(b"r1", 0))
+    assert client.transport.written.startswith(b"HTTP/1.1 500") and not node.host.requests.pending
+    node.host.perform(0, Throttle(b"r1", 0))
     assert client.transport.written.count(b"HTTP/1.1") == 1
 
 
@@ -331,16 +335,16 @@
     """
     for stall, early in ((0, 0), (200, 0), (6_000, 6_000)):
         node = SocketlessNode()
-        node.turn.marks.extend([NOW - stall] * 3)
+        node.batch.pass_times.extend([NOW - stall] * 3)
         client = receive(node.client(), REQUEST)
-        assert client.open_request.due == NOW + 40_000 - 200 - early
+        assert client.open_request.answer_by == NOW + 40_000 - 200 - early
         node.run()
         node.forward(allowed=39_000)
-        due = client.open_request.due
-        node.turn.limits.sort()
-        limits = [(when, call.__name__) for when, _, call, _ in node.turn.limits]
-        assert (due - 50, "overslept") in limits
-        assert any(name == "overdue" and when < due - 50 for when, name in limits)
+        due = client.open_request.answer_by
+        node.batch.timers.sort()
+        limits = [(when, call.__name__) for when, _, call, _ in node.batch.timers]
+        assert (due - 50, "fail_unanswered") in limits
+        assert any(name == "end_overdue" and when < due - 50 for when, name in limits)
         assert node.dispatcher.events[0].deadline == NOW + 39_800
 
 
@@ -350,16 +354,16 @@
     Told of the shorter time, the dispatcher took it for a repeat and throttled all that came.
     """
     node = SocketlessNode()
-    node.desk.latest = NOW + 20_000
+    node.host.requests.shutdown_at = NOW + 20_000
     client = node.send_request()
-    assert client.open_request.due == node.desk.latest
+    assert client.open_request.answer_by == node.host.requests.shutdown_at
     assert node.dispatcher.events[0].deadline == NOW + 39_800
 
 
 def test_one_fault_does_not_end_the_batch_for_others():
     """An input of a batch fails; what came with it must be handled all the same."""
     node = SocketlessNode()
-    node.turn.put(lambda now: 1 / 0)
+    node.batch.enqueue(lambda now: 1 / 0)
     client = node.send_request()
     node.act(Fail(b"r1"), now=0)
     assert client.transport.written.startswith(b"HTTP/1.1 500")
@@ -382,6 +386,6 @@
         node.act(Probe("s-1"))
         receive(node.connections[0], response)
         node.run()
-        for _, _, call, arguments in list(node.turn.limits):
+        for _, _, call, arguments in list(node.batch.timers):
             call(0, *arguments)
         assert node.dispatcher.events == [event] and isinstance(node.dispatcher.events[0], ProbeAnswered)
