--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,7 +1,6 @@
 """Crowds of clients that are silent or idle, and what they leave of a node's descriptors."""
 
 import asyncio
-import resource
 import time
 from contextlib import suppress
 
@@ -15,7 +14,7 @@
     until,
 )
 from socketless_node import REQUEST, SocketlessNode, call_back_message, receive
-from test_signals import program, told
+from test_signals import Program, node_file
 
 # Seconds within which a change of the endpoint list counts as known to the node.
 KNOWN_AFTER = 6.0
@@ -143,14 +142,13 @@
         ]
         self.draining = executors[::2]
         self.healthy = executors[1::2]
-        node_file = told(
+        content = node_file(
             discovery=f"{self.listener[0]}:{self.discovery_port}",
             listen="%s:%d" % self.listener,
             limits={"sockets": self.descriptors},
         )
-        node_file["known"] = {"index": 1, "endpoints": [executor.row() for executor in executors]}
-        limit = resource.RLIMIT_NOFILE, (self.descriptors, self.descriptors)
-        self.process, _ = program(folder, node_file, preexec_fn=lambda: resource.setrlimit(*limit))
+        content["known"] = {"index": 1, "endpoints": [executor.row() for executor in executors]}
+        self.process = Program(folder, content, max_descriptors=self.descriptors).process
         self.reading = asyncio.create_task(
             asyncio.to_thread(lambda: self.log_lines.extend(self.process.stderr))
         )
