--- a/grebedyke/service/configuration_reload.py
+++ b/grebedyke/service/configuration_reload.py
@@ -80,7 +80,7 @@
         )
         self.discovery.move(host, port)
         if put_in_force:
-            # Between the actions of two batches: what has come in before goes by the old settings, whole.
+            # An event like others: what has come in before it goes by the old settings, whole.
             self.batch.enqueue(put_in_force)
 
     def _prepare(self, configuration):
