--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -4,6 +4,7 @@
 import time
 from contextlib import suppress
 
+import node_files
 import pytest
 from emulators import (
     ACCEPTED,
@@ -13,8 +14,9 @@
     free_port,
     until,
 )
+from node_harness import SETTINGS
 from socketless_node import REQUEST, SocketlessNode, call_back_message, receive
-from test_signals import Program, node_file
+from test_signals import Program
 
 # Seconds within which a change of the endpoint list counts as known to the node.
 KNOWN_AFTER = 6.0
@@ -142,7 +144,8 @@
         ]
         self.draining = executors[::2]
         self.healthy = executors[1::2]
-        content = node_file(
+        content = node_files.node_file(
+            settings=SETTINGS,
             discovery=f"{self.listener[0]}:{self.discovery_port}",
             listen="%s:%d" % self.listener,
             limits={"sockets": self.descriptors},
