--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -29,7 +29,10 @@
     ),
 )
 def test_an_operation_is_found_by_whatever_name_the_settings_give_it(name, path, header):
-    # Names were read as Latin-1: every invocation of such an operation was answered 404.
+    """Clients name an operation whose name is not ASCII, as bytes or percent-encoded.
+
+    Names were read as Latin-1, and every request for such an operation was answered 404.
+    """
     node = SocketlessNode()
     node.listener.apply_settings(ListenerSettings({name: 40_000}, 60_000))
     head = REQUEST.replace(b"/op/", b"/" + path + b"/")
@@ -37,9 +40,8 @@
         head = head.replace(b"X-Timeout", b"X-Priority-Class: " + header + b"\r\nX-Timeout")
     receive(node.client(), head.replace(b"X-Timeout", b"X-Tenant-Id: M\xc3\xa1tra\r\nX-Timeout"))
     node.run()
-    assert [(x.operation, x.tenant) for x in node.dispatcher.events if isinstance(x, RequestArrived)] == [
-        (name, "Mátra")
-    ]
+    requests = [event for event in node.dispatcher.events if isinstance(event, RequestArrived)]
+    assert [(request.operation, request.tenant) for request in requests] == [(name, "Mátra")]
     node.forward()
     assert node.connections[0].transport.written.startswith(b"POST /" + path + b"/k?q=1 HTTP/1.1\r\n")
 
@@ -52,43 +54,54 @@
     assert client.transport.written.startswith(b"HTTP/1.1 400") and not node.host.requests.pending
 
 
-def test_clients_that_go_on_with_a_longer_time_are_taken_and_answered_by_the_shorter():
-    # After a reload that shortened it they were answered 400, an error, until they had heard of it.
+def test_clients_that_keep_a_longer_timeout_are_accepted_and_answered_by_the_shorter():
+    """A reload shortens an operation's timeout; clients go on with the longer one until they learn of it.
+
+    They were answered 400 until then, which counts as an error.
+    """
     node = SocketlessNode()
     node.listener.apply_settings(ListenerSettings({"op": 20_000}, 60_000))
-    for wait, taken in ((4000, True), (4001, False), (2000, True), (1500, True)):
+    for timeout, is_accepted in ((4000, True), (4001, False), (2000, True), (1500, True)):
         node.dispatcher.events.clear()
-        client = receive(node.client(), REQUEST.replace(b"r1", b"r%d" % wait).replace(b"4000", b"%d" % wait))
+        client = receive(
+            node.client(), REQUEST.replace(b"r1", b"r%d" % timeout).replace(b"4000", b"%d" % timeout)
+        )
         node.run()
-        assert [x.deadline for x in node.dispatcher.events if isinstance(x, RequestArrived)] == (
-            [NOW + min(wait * 10, 20_000) - node.host.requests.settings.response_margin] if taken else []
-        ), wait
-        assert client.transport.written.startswith(b"HTTP/1.1 400") == (not taken)
+        requests = [event for event in node.dispatcher.events if isinstance(event, RequestArrived)]
+        deadline = NOW + min(timeout * 10, 20_000) - node.host.requests.settings.response_margin
+        assert [request.deadline for request in requests] == ([deadline] if is_accepted else []), timeout
+        assert client.transport.written.startswith(b"HTTP/1.1 400") == (not is_accepted)
 
 
-def test_a_longer_tick_does_not_send_again_beside_a_forward_whose_time_is_over():
-    terms = {
+def test_a_longer_tick_does_not_retry_beside_an_attempt_whose_time_is_over():
+    settings = {
         **SETTINGS,
         "tickMs": 2,
         "operations": [{**SETTINGS["operations"][0], "idempotency": "safe", "latencyObjectiveMs": 20_000}],
     }
-    d = configuration.open_dispatcher("1", configuration.check_settings(orjson.loads(orjson.dumps(terms))))
+    before = configuration.check_settings(orjson.loads(orjson.dumps(settings)))
+    after = configuration.check_settings({**settings, "tickMs": 20})
+    dispatcher = configuration.open_dispatcher("1", before)
     listed = [EndpointRow(f"s-{i}", "a", "m", 0, "healthy", 0, 1) for i in range(3)]
-    d.handle(10, EndpointsChanged(True, listed))
-    d.handle(100, RequestArrived(b"r1", "op", None, 80_100, 0, 1))
-    ((id, first, _),) = pull(d, 100, Forward)
-    reload(200, d, configuration.open_dispatcher("1", configuration.check_settings({**terms, "tickMs": 20})))
+    dispatcher.handle(10, EndpointsChanged(True, listed))
+    dispatcher.handle(100, RequestArrived(b"r1", "op", None, 80_100, 0, 1))
+    ((id, first, _),) = pull(dispatcher, 100, Forward)
+    reload(200, dispatcher, configuration.open_dispatcher("1", after))
     over = 80_100 - 3 * 200
-    d.handle(over, AttemptEnded(id, 0, Outcome.TIMEOUT, False))
-    assert [type(x) for x in pull(d, over)] == [Throttle]
+    dispatcher.handle(over, AttemptEnded(id, 0, Outcome.TIMEOUT, False))
+    assert [type(action) for action in pull(dispatcher, over)] == [Throttle]
 
 
 @pytest.mark.parametrize(
     "tick, shortest, left", ((10, 100, 80), (5, 5000, 4960), (2, 300, 284), (20, 60, 48))
 )
-def test_short_client_timeouts_leave_time_for_a_forward(tick, shortest, left):
-    # Steps of four ticks each before the due time ate 100 ms at ticks of 10 ms: nearly all was given up.
-    terms = with_fitting_interval(
+def test_short_client_timeouts_leave_time_for_an_attempt(tick, shortest, left):
+    """Clients wait for a few ticks only.
+
+    The steps before the deadline, four ticks each, took up 100 ms at ticks of 10 ms: nearly all requests were
+    given up.
+    """
+    settings = with_fitting_interval(
         configuration.check_settings(
             {
                 **SETTINGS,
@@ -100,7 +113,7 @@
             }
         )
     )
-    requests = node_settings(terms).requests
+    requests = node_settings(settings).requests
     margin = requests.response_margin
     step = requests.scheduling_interval
     assert shortest * 10 - margin - 4 * step >= left * 10 - 50, (margin, step)
