--- a/grebedyke/service/configuration_reload.py
+++ b/grebedyke/service/configuration_reload.py
@@ -1,6 +1,7 @@
 """Reloading: puts a changed configuration in force while the node runs."""
 
-from typing import NamedTuple
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 from loguru import logger
 
@@ -14,8 +15,8 @@
             anything has changed.
     """
 
-    sections: tuple
-    prepare: object
+    sections: tuple[str, ...]
+    prepare: Callable[[dict[str, Any]], Callable[[int], None]]
 
 
 class ConfigurationReload:
@@ -79,7 +80,7 @@
         )
         self.discovery.move(host, port)
         if put_in_force:
-            # Between the actions of two batches: what has come in before goes by the old settings, whole.
+            # An event like others: what has come in before it goes by the old settings, whole.
             self.batch.enqueue(put_in_force)
 
     def _prepare(self, configuration):
--- a/grebedyke/service/reload.py
+++ b/grebedyke/service/reload.py
@@ -1,4 +1,4 @@
-"""Takes changed settings over into a dispatcher that runs, between two batches.
+"""Takes changed settings over into a dispatcher that runs, in one event of a batch.
 
 Load, credit, budgets and open requests stay. A second dispatcher beside the first would forget them, and two
 sets of decisions would load one executor.
