--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -43,13 +43,13 @@
 
 
 @pytest.fixture(scope="module")
-def played():
-    """All runs beside each other: what each gave, by its scene or its build."""
+def results():
+    """All runs beside each other: the result document of each, by its scene or its build."""
     runs = {name: {**shape, "scene": name} for name, shape in SCENES.items()}
     runs["calm"] = HOLLOW
     runs |= {name: {**HOLLOW, "scene": scene, "build": name} for name, (scene, _) in CAUGHT.items()}
 
-    async def beside():
+    async def play_all():
         return await asyncio.gather(
             *(
                 ScaleRun(ScaleSettings(**{**SMALL, "seed": seed, **shape})).play()
@@ -57,53 +57,53 @@
             )
         )
 
-    return dict(zip(runs, asyncio.run(beside()), strict=True))
+    return dict(zip(runs, asyncio.run(play_all()), strict=True))
 
 
 @pytest.mark.parametrize("scene", SCENES)
-def test_a_small_fleet_is_counted_by_role_and_breaks_nothing(played, scene):
+def test_a_small_fleet_is_counted_by_role_and_breaks_nothing(results, scene):
     """Two regions cut, a zone lost, all restarted: hollow nodes and real ones tell one story again."""
-    told = played[scene]
-    assert told["broken"] == []
-    assert None not in told["times_s"].values()
-    assert told["values"] and told["passed"]
-    before = told["windows"]["before"]
+    result = results[scene]
+    assert result["broken"] == []
+    assert None not in result["times_s"].values()
+    assert result["values"] and result["passed"]
+    before = result["windows"]["before"]
     rows = {(row["role"], row["kind"]): row for row in before["roles"]}
     assert {role for role, _ in rows} == {"holder", "voter", "other"}
-    assert sum(row["nodes"] for row in rows.values()) == told["shape"]["nodes"]
-    assert told["hollow_beside_real"]
+    assert sum(row["nodes"] for row in rows.values()) == result["shape"]["nodes"]
+    assert result["hollow_beside_real"]
     for key in scale_figures.COUNTED:
         # In some window of each role: on a machine that stands still a window may have nothing in it.
-        seen = {
+        counted_roles = {
             row["role"]
-            for window in told["windows"].values()
+            for window in result["windows"].values()
             for row in window["roles"]
             if key in row and row[key]["most"] > 0
         }
-        assert seen >= {"holder", "voter"}, key
-    sent = told["sent"]
+        assert counted_roles >= {"holder", "voter"}, key
+    sent = result["sent"]
     # Each asks the voters for its lease and the holder for its shares, and is answered.
     assert 0 < sent["M"] <= sent["m"] and 0 < sent["S"] <= sent["s"]
     if scene == "cut":
         assert sent["M"] < sent["m"]  # what is asked across the cut has no answer
     if scene == "zone":
-        rows = told["windows"]["while it is lost"]["roles"]
-        assert 0 < sum(row["nodes"] for row in rows if row["role"] != "down") < told["shape"]["nodes"]
+        rows = result["windows"]["while it is lost"]["roles"]
+        assert 0 < sum(row["nodes"] for row in rows if row["role"] != "down") < result["shape"]["nodes"]
 
 
-def test_broken_builds_are_caught_by_counts(played):
+def test_broken_builds_are_caught_by_counts(results):
     """Each keeps all promises and costs too much; the honest build is caught in none of these scenes."""
-    assert [*CAUGHT] == [*broken_builds.SCALE] and played["calm"]["broken"] == played["cut"]["broken"] == []
-    assert {name: {row[1] for row in played[name]["broken"]} for name in CAUGHT} == {
+    assert [*CAUGHT] == [*broken_builds.SCALE] and results["calm"]["broken"] == results["cut"]["broken"] == []
+    assert {name: {row[1] for row in results[name]["broken"]} for name in CAUGHT} == {
         name: {clause} for name, (_, clause) in CAUGHT.items()
     }
 
 
 def test_the_same_fleet_in_simulated_time_says_as_much():
     """By the settings: each lease four asks to three voters and three for shares."""
-    told = simulated_fleet.play(ScaleSettings(nodes=6, real=0, lease=2.0, seed=2), 20.0)
-    rows = {row["role"]: row for row in told["roles"]}
-    assert told["boards_a_second"] == 0 and {role: row["nodes"] for role, row in rows.items()} == {
+    result = simulated_fleet.play(ScaleSettings(nodes=6, real=0, lease=2.0, seed=2), 20.0)
+    rows = {row["role"]: row for row in result["roles"]}
+    assert result["boards_a_second"] == 0 and {role: row["nodes"] for role, row in rows.items()} == {
         "holder": 1,
         "voter": 2,
         "other": 3,
@@ -133,7 +133,7 @@
         ({(0, STARTED, "b"): 3, (3, STARTED, "b"): 1, (4, ENDED, "b"): 1}, "too many under way"),
     ],
 )
-def test_what_went_through_is_held_against_the_limits(admissions, clause):
+def test_admissions_are_checked_against_the_limits(admissions, clause):
     checker = five_nodes_checker()
     checker.admissions.update(admissions)
     checker.check_limits()
@@ -160,7 +160,7 @@
     assert [violation.clause for violation in checker.violations] == ["one value"]
 
 
-def test_limits_that_are_exceeded_are_told_apart_from_what_is_broken():
+def test_exceeded_limits_and_broken_promises_are_reported_apart():
     counts = {
         "messages_out": 1.0,
         "messages_in": 1.0,
@@ -190,15 +190,15 @@
 
 def one_line(*arguments, **options):
     """Exit code and the one line of a run that is not begun."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "grebedyke", "scale", *map(str, arguments)],
         capture_output=True,
         text=True,
         timeout=60,
         **options,
     )
-    assert done.stdout == "" and done.stderr.count("\n") == 1, done.stderr
-    return done.returncode, done.stderr
+    assert completed.stdout == "" and completed.stderr.count("\n") == 1, completed.stderr
+    return completed.returncode, completed.stderr
 
 
 def few_descriptors():
@@ -206,6 +206,7 @@
 
 
 def test_a_run_that_does_not_fit_this_machine_is_not_begun(monkeypatch):
+    """A run that ran out of ports, descriptors or memory amid its start would take others down with it."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
         port = taken.getsockname()[1]
@@ -214,7 +215,7 @@
     code, line = one_line("--nodes", 200, preexec_fn=few_descriptors)
     assert code == 2 and "descriptors are needed and 96 allowed" in line
     monkeypatch.setattr(scale_capacity, "machine_memory", lambda: MachineMemory(1 << 30, 1 << 29))
-    for words, said in (
+    for arguments, message in (
         (("--nodes", 760), "MB are needed and 512 MB are there"),
         (("--nodes", 2_000, "--each", 1), "processes are more than 300"),
         (("--nodes", 600, "--port", 65_000), "ports end at 65535"),
@@ -223,16 +224,21 @@
         (("--lease", 0.5, "--wait", 0.2), "--lease is under four times --wait"),
         (("--scene", "noon"), "Invalid value"),
     ):
-        told = CliRunner().invoke(cli, ["scale", *map(str, words)])
-        assert told.exit_code == 2 and said in told.stderr, (words, told.output)
+        result = CliRunner().invoke(cli, ["scale", *map(str, arguments)])
+        assert result.exit_code == 2 and message in result.stderr, (arguments, result.output)
 
 
 @pytest.mark.parametrize("number", (signal.SIGKILL, signal.SIGTERM))
 def test_a_killed_run_leaves_no_process_port_or_folder(number):
+    """A run that is killed cannot tell its processes to end, nor remove its folder.
+
+    Left alone they would take this machine's memory and ports from the next run. Each process ends when its
+    input does, and removes the run's folder.
+    """
     host = f"127.88.{os.getpid() % 250}.{int(number)}"
-    words = "--nodes", "5", "--real", "2", "--for", "300", "--host", host, "--lead", "any"
+    arguments = "--nodes", "5", "--real", "2", "--for", "300", "--host", host, "--lead", "any"
     run = subprocess.Popen(
-        [sys.executable, "-m", "grebedyke", "scale", *words],
+        [sys.executable, "-m", "grebedyke", "scale", *arguments],
         stderr=subprocess.PIPE,
         stdout=subprocess.DEVNULL,
         text=True,
@@ -263,11 +269,11 @@
 
 def test_a_plain_node_imports_nothing_of_it():
     code = "import sys, grebedyke.service.start; print([m for m in sys.modules if '.testbed' in m])"
-    told = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code],
         capture_output=True,
         text=True,
         check=True,
         env={**os.environ, "PYTHONPATH": "."},
     )
-    assert told.stdout.strip() == "[]"
+    assert result.stdout.strip() == "[]"
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -55,7 +55,7 @@
     assert all(counts.get(kind) for kind in HAPPENED), counts
 
 
-def test_the_judge_finds_what_logs_contradict():
+def test_the_checker_finds_what_logs_contradict():
     def event(revision, machine, state):
         return {"event": "machine", "rev": revision, "machine": machine, "state": state}
 
