--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -16,7 +16,8 @@
 from benchmarks.capacity import cpu
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
-from grebedyke.testbed.process_cluster import WARM_UP_TIME, ProcessCluster, ProcessClusterSettings
+from grebedyke.testbed.process_cluster import ProcessCluster
+from grebedyke.testbed.process_cluster_settings import WARM_UP_TIME, ProcessClusterSettings
 
 ZONES = "a", "b", "c", "d"
 LOOK = 0.1
--- a/grebedyke/testbed/fleet_layout.py
+++ b/grebedyke/testbed/fleet_layout.py
@@ -6,7 +6,7 @@
 
 from grebedyke.load import fleet as plain
 from grebedyke.load import shape
-from grebedyke.testbed.process_cluster import DRAIN_GRACE, IDEMPOTENCY_WINDOW, WARM_UP_TIME
+from grebedyke.testbed.process_cluster_settings import DRAIN_GRACE, IDEMPOTENCY_WINDOW, WARM_UP_TIME
 from grebedyke.testbed.scale_settings import CLOCK_DRIFT, TEAM_COUNT, ZONES, team
 
 OPERATION = shape.Operation("task", "safe")
--- a/grebedyke/testbed/process_cluster.py
+++ b/grebedyke/testbed/process_cluster.py
@@ -8,28 +8,26 @@
 import sys
 import time
 from collections import Counter
-from collections.abc import Sequence
-from dataclasses import dataclass
-from enum import StrEnum
 from pathlib import Path
 
 from grebedyke.load import fleet as plain
 from grebedyke.standin import talk
 from grebedyke.testbed.launcher import SETTINGS_VARIABLE
 from grebedyke.testbed.network_relay import NetworkRelay
+from grebedyke.testbed.process_cluster_settings import (
+    CLOCK_DRIFT,
+    DRAIN_GRACE,
+    IDEMPOTENCY_WINDOW,
+    LEASE,
+    ROUND_TIMEOUT,
+    WARM_UP_TIME,
+    FolderState,
+)
 from grebedyke.testbed.tcp_proxy import TcpProxy
 
 LAUNCHER_MODULE = "grebedyke.testbed.launcher"
 # The launcher's name in version 0.1, see `launcher_module`.
 LAUNCHER_MODULE_OF_0_1 = "grebedyke.rig.launch"
-# Short, so that trials are; in seconds.
-LEASE = 1.0
-ROUND_TIMEOUT = 0.1
-DRAIN_GRACE = 0.5
-WARM_UP_TIME = 1.0
-IDEMPOTENCY_WINDOW = 0.5
-# By how much the rates of any two clocks may differ, as a fraction.
-CLOCK_DRIFT = 0.02
 # By how many seconds a node's wall clock may be off; one is drawn at each start.
 WALL_CLOCK_ERRORS = (0, 0, 3600, -86400)
 # Of the starts in a trial beside an older version, so many run that one.
@@ -42,51 +40,6 @@
 MILLISECONDS_PER_SECOND = 1000
 
 
-class FolderState(StrEnum):
-    """What a node finds in its folder when it starts again.
-
-    Attributes:
-        SAME: What it left there.
-        OLDER: An older copy.
-        EMPTY: Nothing.
-        CORRUPT: A record that is none.
-    """
-
-    SAME = "same"
-    OLDER = "older"
-    EMPTY = "empty"
-    CORRUPT = "spoilt"
-
-
-@dataclass(frozen=True, slots=True, kw_only=True)
-class ProcessClusterSettings:
-    """What a cluster of processes is.
-
-    Attributes:
-        operations: The operations that clients request.
-        nodes: How many nodes there are.
-        executors: How many executors there are.
-        voters: How many nodes vote: the first ones.
-        seed: Of the clocks, the relay's faults and the nodes' own draws.
-        peer_messages: Whether nodes grant each other slots at executors.
-        maintenance: Whether they have a maintenance component.
-        older_tree: The source tree of another version; each start draws which of the two runs.
-        zones: The zones of nodes and executors.
-        limits: The limits of the whole fleet, as rows of a configuration; None for none.
-    """
-
-    operations: Sequence
-    nodes: int = 5
-    executors: int = 6
-    voters: int = 3
-    seed: int = 0
-    peer_messages: bool = False
-    maintenance: bool = True
-    older_tree: str | None = None
-    zones: Sequence[str] = plain.ZONES
-    limits: Sequence[dict] | None = None
-
-
 class ProcessCluster(plain.Fleet):
     """A fleet whose nodes know each other by the sockets of a relay.
 
--- a/grebedyke/testbed/trial.py
+++ b/grebedyke/testbed/trial.py
@@ -11,10 +11,10 @@
 
 from grebedyke.load import shape
 from grebedyke.load.clients import Clients
-from grebedyke.testbed.process_cluster import (
+from grebedyke.testbed.process_cluster import ProcessCluster
+from grebedyke.testbed.process_cluster_settings import (
     DRAIN_GRACE,
     WARM_UP_TIME,
-    ProcessCluster,
     ProcessClusterSettings,
 )
 from grebedyke.testbed.trial_checker import TrialChecker
--- a/grebedyke/testbed/trial_faults.py
+++ b/grebedyke/testbed/trial_faults.py
@@ -8,7 +8,7 @@
 from functools import partial
 
 from grebedyke.testbed.launcher import DiskFault
-from grebedyke.testbed.process_cluster import FolderState
+from grebedyke.testbed.process_cluster_settings import FolderState
 from grebedyke.testbed.tcp_proxy import ProxyFault
 
 # How long a fault lasts unless stated otherwise, in seconds.
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -26,7 +26,8 @@
 from grebedyke.rate_limits.request_limiter import RequestLimiter
 from grebedyke.rate_limits.token_bucket import TokenBucket
 from grebedyke.testbed import broken_builds, simulated_limits, trial
-from grebedyke.testbed.process_cluster import ProcessCluster, ProcessClusterSettings
+from grebedyke.testbed.process_cluster import ProcessCluster
+from grebedyke.testbed.process_cluster_settings import ProcessClusterSettings
 from grebedyke.testbed.trial_checker import TrialChecker
 
 # Ten requests a second, a burst of ten.
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -19,9 +19,9 @@
     LAUNCHER_MODULE,
     LAUNCHER_MODULE_OF_0_1,
     ProcessCluster,
-    ProcessClusterSettings,
     launcher_module,
 )
+from grebedyke.testbed.process_cluster_settings import ProcessClusterSettings
 from grebedyke.testbed.trial_checker import TrialChecker
 
 # Each fault comes in some trial: one that did not happen proves nothing.
