--- a/benchmarks/upkeep.py
+++ b/benchmarks/upkeep.py
@@ -18,7 +18,8 @@
 from benchmarks.capacity import cpu
 from grebedyke.load.arrivals import LoadShape, Operation, draw_arrivals
 from grebedyke.load.clients import OpenLoopClients
-from grebedyke.testbed.process_cluster import WARM_UP_TIME, ProcessCluster, ProcessClusterSettings
+from grebedyke.testbed.process_cluster import ProcessCluster
+from grebedyke.testbed.process_cluster_settings import WARM_UP_TIME, ProcessClusterSettings
 
 ZONES = ("a", "b", "c", "d")
 LOOK_INTERVAL = 0.1
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -19,9 +19,9 @@
     LAUNCHER_MODULE,
     LAUNCHER_MODULE_OF_0_1,
     ProcessCluster,
-    ProcessClusterSettings,
     launcher_module,
 )
+from grebedyke.testbed.process_cluster_settings import ProcessClusterSettings
 from grebedyke.testbed.trial_checker import TrialChecker
 
 # Each fault comes in some trial: one that did not happen proves nothing.
@@ -55,7 +55,7 @@
     assert all(counts.get(kind) for kind in HAPPENED), counts
 
 
-def test_the_judge_finds_what_logs_contradict():
+def test_the_checker_finds_what_logs_contradict():
     def event(revision, machine, state):
         return {"event": "machine", "rev": revision, "machine": machine, "state": state}
 
