--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -510,7 +510,7 @@
         for kind, samples in before[part].items():
             assert readable(now[part].get(kind, [])) == readable(samples), kind
             assert now[part][kind] == samples, kind
-    same = sum(a == b for a, b in zip(before["digests"], now["digests"]))
+    same = sum(a == b for a, b in zip(before["digests"], now["digests"], strict=False))
     assert same == len(before["digests"]), f"the rounds part within {STRETCH} events from {same * STRETCH} on"
     assert now == before
 
@@ -561,7 +561,7 @@
 def test_nodes_start_from_recorded_files(file, recalled):
     samples, expected = recorded_files()[file], golden("files")[file]
     assert len(samples) == len(expected) >= 8
-    for (node, nodes, data), said in zip(samples, expected):
+    for (node, nodes, data), said in zip(samples, expected, strict=True):
         *found, written = recalled(node, nodes, data)
         assert plain(found) == said
         assert written == data
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -66,7 +66,8 @@
 
         `passes(sender, receiver, message)` tells which messages arrive.
         """
-        for now in range(now, now + LONGEST_RUN, STEP):
+        start = now
+        for now in range(start, start + LONGEST_RUN, STEP):
             for node in nodes:
                 self.take_actions(now, node)
             in_transit, self.in_transit = self.in_transit, []
@@ -306,13 +307,13 @@
 
 def test_values_are_agreed_on_though_each_write_takes_longer_than_the_wait():
     """On a disk with slow syncs no value was ever chosen: each round had the same time again."""
-    group, now = founded_group()
+    group, start = founded_group()
     results = []
     group.voters[0].propose(
-        now, "k", lambda old: ({"v": 1}, True), lambda now, result: results.append(result)
+        start, "k", lambda old: ({"v": 1}, True), lambda now, result: results.append(result)
     )
     writes = []
-    for now in range(now, now + LONGEST_RUN, STEP):
+    for now in range(start, start + LONGEST_RUN, STEP):
         for node, voter in enumerate(group.voters):
             finished = [write for write in writes if write[0] == node and write[1] <= now]
             writes = [write for write in writes if write not in finished]
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -42,17 +42,17 @@
 # Times in ms; askEveryMs is another host's: by it nothing here may change.
 CASE_SETTINGS = {
     "pushed": {},
-    "pushed, drain grace 50": {"drain": 50},
-    "pushed, drain grace 30 s": {"drain": 30_000},
-    "asked, 1 node": {"registryMode": "ask", "askEveryMs": 1},
-    "asked, 200 nodes": {"registryMode": "ask", "balancers": 200, "askEveryMs": 3_600_000},
-    "asked, 200 nodes, drain grace 50": {"registryMode": "ask", "balancers": 200, "drain": 50},
+    "pushed, drain grace 50": {"drain_grace_ms": 50},
+    "pushed, drain grace 30 s": {"drain_grace_ms": 30_000},
+    "asked, 1 node": {"registry_mode": "ask", "poll_interval_ms": 1},
+    "asked, 200 nodes": {"registry_mode": "ask", "node_count": 200, "poll_interval_ms": 3_600_000},
+    "asked, 200 nodes, drain grace 50": {"registry_mode": "ask", "node_count": 200, "drain_grace_ms": 50},
 }
 
 
-def case_settings(registryMode="push", balancers=1, drain=2_000, askEveryMs=1_000):
-    rules = {**SETTINGS["rules"], "drainGraceMs": drain, "askEveryMs": askEveryMs}
-    return {"registryMode": registryMode, "balancers": balancers, "rules": rules}
+def case_settings(registry_mode="push", node_count=1, drain_grace_ms=2_000, poll_interval_ms=1_000):
+    rules = {**SETTINGS["rules"], "drainGraceMs": drain_grace_ms, "askEveryMs": poll_interval_ms}
+    return {"registryMode": registry_mode, "balancers": node_count, "rules": rules}
 
 
 class FailingDiscovery(DiscoveryEmulator):
--- a/tests/test_slot_lending.py
+++ b/tests/test_slot_lending.py
@@ -1,5 +1,6 @@
 """Slots that group coordinators grant to other nodes."""
 
+import pytest
 from helpers import Several, dispatcher, pull, rows
 
 from grebedyke.model.actions import Forward, SendPeerMessage
@@ -38,40 +39,40 @@
     )
 
 
-def test_a_silent_coordinator_is_replaced_and_a_lost_message_costs_no_executor():
+@pytest.mark.parametrize("outage", [range(6), (0,)], ids=["dead", "no messages to node 0"])
+def test_a_silent_coordinator_is_replaced_and_a_lost_message_costs_no_executor(outage):
     """A coordinator dies or its messages are lost: its executors must not be lost with it."""
-    for outage in (range(6), (0,)):
-        fleet = Several(6, rows(1, 2))
-        coordinator = fleet.all[0].endpoints.coordinators.node_for(("a", 0), 10)
-        fleet.lost = lambda by, to: coordinator in (by, to) and to in (coordinator, *outage)
-        requester = next(i for i in range(6) if i != coordinator)
-        fleet.all[requester].taken(10, 5, "op", None, 50_010, 1_000, 1)
-        done = fleet.go(10, 2_400)
-        assert len(forwards(done)) == 1 and 1_000 < done[0][0] < 1_200
-        stand_in = fleet.all[fleet.all[requester].endpoints.coordinators.node_for(("a", 0), 1_500)].endpoints
-        assert sum(endpoint.slots_in_use for endpoint in stand_in.healthy) == 1
-        fleet.all[requester].ended(2_400, 5, 0, Outcome.SUCCEEDED, True)
-        fleet.lost = lambda by, to: to == coordinator
-        fleet.go(2_410, 3_000)
-        assert sum(endpoint.slots_in_use for endpoint in stand_in.healthy) == 0
-
-
-def test_a_granted_slot_is_released_when_its_client_has_left_or_its_node_is_dead():
+    fleet = Several(6, rows(1, 2))
+    coordinator = fleet.all[0].endpoints.coordinators.node_for(("a", 0), 10)
+    fleet.lost = lambda by, to: coordinator in (by, to) and to in (coordinator, *outage)
+    requester = next(i for i in range(6) if i != coordinator)
+    fleet.all[requester].taken(10, 5, "op", None, 50_010, 1_000, 1)
+    done = fleet.go(10, 2_400)
+    assert len(forwards(done)) == 1 and 1_000 < done[0][0] < 1_200
+    stand_in = fleet.all[fleet.all[requester].endpoints.coordinators.node_for(("a", 0), 1_500)].endpoints
+    assert sum(endpoint.slots_in_use for endpoint in stand_in.healthy) == 1
+    fleet.all[requester].ended(2_400, 5, 0, Outcome.SUCCEEDED, True)
+    fleet.lost = lambda by, to: to == coordinator
+    fleet.go(2_410, 3_000)
+    assert sum(endpoint.slots_in_use for endpoint in stand_in.healthy) == 0
+
+
+@pytest.mark.parametrize("dead", [False, True], ids=["client left", "node dead"])
+def test_a_granted_slot_is_released_when_its_client_has_left_or_its_node_is_dead(dead):
     """Slots are granted to requests that are gone: without a release or an expiry none would be left."""
-    for dead in (False, True):
-        fleet = Several(4, rows(1))
-        coordinator = fleet.all[0].endpoints.coordinators.node_for(("a", 0), 10)
-        requester = (coordinator + 1) % 4
-        endpoint = fleet.all[coordinator].endpoints.by_id[1]
-        fleet.all[requester].taken(10, 5, "op", None, 50_010, 1_000, 1)
-        fleet.go(10, 30)
-        assert endpoint.slots_in_use == 1
-        fleet.all[requester].left(30, 5)
-        fleet.lost = lambda by, to: dead and by == requester
-        done = fleet.go(40, 100)
-        assert not forwards(done) and endpoint.slots_in_use == dead
-        fleet.go(100, 60_000, 1_000)
-        assert endpoint.slots_in_use == 0 and not fleet.all[coordinator].requests
+    fleet = Several(4, rows(1))
+    coordinator = fleet.all[0].endpoints.coordinators.node_for(("a", 0), 10)
+    requester = (coordinator + 1) % 4
+    endpoint = fleet.all[coordinator].endpoints.by_id[1]
+    fleet.all[requester].taken(10, 5, "op", None, 50_010, 1_000, 1)
+    fleet.go(10, 30)
+    assert endpoint.slots_in_use == 1
+    fleet.all[requester].left(30, 5)
+    fleet.lost = lambda by, to: dead and by == requester
+    done = fleet.go(40, 100)
+    assert not forwards(done) and endpoint.slots_in_use == dead
+    fleet.go(100, 60_000, 1_000)
+    assert endpoint.slots_in_use == 0 and not fleet.all[coordinator].requests
 
 
 def test_the_own_list_takes_precedence_over_a_grant():
@@ -142,7 +143,7 @@
     for i in range(400):  # a hundred a second
         now = 10_100 + 100 * i
         fleet.all[i % 20].taken(now, now, "op", None, now + 50_000, 4_000, 1)
-        for at, by, x in fleet.go(now, now + 90):
+        for _, by, x in fleet.go(now, now + 90):
             if isinstance(x, Forward):
                 id = x.endpoint_id
                 queues.setdefault(id, []).append([by, x.request_id, 0])
