--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -152,6 +152,7 @@
     cases += [Case(f"{n} idle connections, 100 a second", 100, connections=n) for n in (100, 250)]
 
     async def play():
+        """Prints each row as soon as it is there."""
         async for row in rows(cases, seconds, rounds):
             click.echo(row)
 
--- a/benchmarks/cold_round.py
+++ b/benchmarks/cold_round.py
@@ -322,7 +322,7 @@
 
     def _on_started(self, executor, job):
         """A job began to run: plans its end."""
-        if self.settings.tells_start:
+        if self.settings.reports_starts:
             self._after(TRANSIT_TIME, self._report_start, job)
         ends = next(running.ends for running in executor.model.running if running.id == job)
         self._at(ends * TICKS_PER_SECOND + 1, self._finish_jobs, executor, executor.started_at)
@@ -345,7 +345,7 @@
             executor.is_up = False
             for held in (*executor.model.running, *executor.model.waiting):
                 self._after(TRANSIT_TIME, self._end_attempt, held.id, Outcome.CONNECTION_RESET, False)
-            self._tell_nodes(executor, "gone")
+            self._announce(executor, "gone")
             self._at(max(back_at + self._seconds(0, 0.3), self.now + 1), self._bring_back, executor)
 
     def _bring_back(self, executor):
@@ -358,9 +358,9 @@
             executor.is_up = True
             executor.started_at = self.now
             executor.recent_calls.clear()
-        self._tell_nodes(executor, "healthy")
+        self._announce(executor, "healthy")
 
-    def _tell_nodes(self, executor, state):
+    def _announce(self, executor, state):
         """Each node hears of a change of the list after its own delay."""
         for number in range(self.node_count):
             self._after(self.list_delays[number], self._update_list, number, executor.row(state))
--- a/benchmarks/cold_settings.py
+++ b/benchmarks/cold_settings.py
@@ -20,7 +20,7 @@
         fall_multiple: Multiple of its share of the traffic, by warmth, at which an executor falls.
         fall_window: Window over which that counts, in ticks.
         probes: Whether nodes may probe executors.
-        tells_start: Whether executors tell when a job starts.
+        reports_starts: Whether executors report when a job starts.
         hints: Whether clients tell how much work a job is.
         executor_count: Number of executors.
         executors_differ: Whether executors have several sizes, told roughly as the list's weights.
@@ -39,7 +39,7 @@
         self.fall_multiple = random.uniform(2, 4)
         self.fall_window = int(random.uniform(0.5, 2) * TICKS_PER_SECOND)
         self.probes = random.choice((False, True))
-        self.tells_start = random.choice((False, True))
+        self.reports_starts = random.choice((False, True))
         self.hints = random.choice((False, True))
         self.executor_count = random.randint(6, 12) if node_count < MANY_NODES else random.randint(10, 24)
         self.executors_differ = random.choice((False, True))
@@ -77,7 +77,7 @@
                     "maxRetryAfterMs": 2000,
                     "retryAfter": True,
                 },
-                "familyInfo": {"tellsStart": self.tells_start},
+                "familyInfo": {"tellsStart": self.reports_starts},
                 "billedValueBy": "request",
             }
         )
@@ -90,7 +90,7 @@
             f"{self.fall_multiple:.1f}, window {self.fall_window / TICKS_PER_SECOND:.1f} s, "
             f"from {self.initial_warmth:.2f} in {self.ramp_time / TICKS_PER_SECOND:.0f} s, "
             f"load {self.calm_load:.1f} and {self.burst_load:.1f}, mean {self.mean_work:.2f} s, "
-            f"probes {self.probes:d}, starts {self.tells_start:d}, hints {self.hints:d}"
+            f"probes {self.probes:d}, starts {self.reports_starts:d}, hints {self.hints:d}"
         )
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -5,8 +5,9 @@
 
 Writes capacity.md (tables) and capacity.json (each run) into FOLDER, the tables also into a page, between
 its marks, with --scale also what scale runs have written; plots need the extra `plots`. Some four to seven
-minutes on four cores. What is measured, and what is left out of it: benchmarks/roles.py and
-benchmarks/processes.py. --quick: a minute, small sizes, for a look; what it reads off lies far beyond them.
+minutes on four cores. What is measured, and what is left out of it: benchmarks/roles.py,
+benchmarks/dispatcher_roles.py and benchmarks/processes.py. --quick: a minute, small sizes, for a look; what
+it reads off lies far beyond them.
 """
 
 import json
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -11,7 +11,8 @@
 from time import thread_time
 
 from benchmarks.capacity import cpu
-from benchmarks.roles import listing, row, settings
+from benchmarks.measured_dispatcher import listing, settings
+from benchmarks.measurements import row
 from grebedyke.emulators import http_messages
 from grebedyke.emulators.discovery import DiscoveryEmulator
 from grebedyke.load.fleet import free_port
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -156,6 +156,7 @@
     """
 
     async def play():
+        """Plays the load in this process's event loop."""
         clients = OpenLoopClients(nodes, seed=seed, retries=0)
         shape = LoadShape(operations=(VIEW,), rate=rate, seconds=LOAD_SECONDS, mean_work=MEAN_WORK)
         await clients.play(draw_arrivals(seed, shape))
@@ -262,6 +263,7 @@
     """Prints a row for each restart."""
 
     async def play():
+        """Prints each row as soon as it is there; returns how many restarts were too slow."""
         failures = 0
         for number in range(rounds):
             settings = SceneSettings(nodes=nodes, rate=rate, busy=busy, seed=seed + number)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -4,7 +4,17 @@
 
 import pytest
 
-from benchmarks import fleet, fleet_cases, fleet_tables, processes, roles, slopes
+from benchmarks import (
+    dispatcher_roles,
+    fleet,
+    fleet_cases,
+    fleet_tables,
+    measured_cluster,
+    measurements,
+    processes,
+    roles,
+    slopes,
+)
 from grebedyke.units import TICKS_PER_SECOND
 
 ROLES = {
@@ -37,7 +47,9 @@
 KINDS = "full", "wanted", "probes", "what", "fleet"
 
 
-@pytest.mark.parametrize("module", [slopes, fleet_tables, roles], ids=lambda module: module.__name__)
+@pytest.mark.parametrize(
+    "module", [slopes, fleet_tables, measurements, measured_cluster], ids=lambda module: module.__name__
+)
 def test_examples_of_fit_and_reading_off(module):
     failed, tried = doctest.testmod(module)
     assert tried and not failed
@@ -90,7 +102,7 @@
 
 def test_books_grow_by_forwards_under_way():
     more = {"executors": 100, "invocations": 5}
-    rows = [row for n in (10, 100) for row in roles.placed("forwards", n, forwards=n, **more)]
+    rows = [row for n in (10, 100) for row in dispatcher_roles.placed("forwards", n, forwards=n, **more)]
     grown = fleet_tables.slopes(rows)["an executor's place in the books", "forwards"]
     assert grown["forwards"][1] == [10, 100]
     assert 500 < grown["state for forwards"][2].each < 3_000
