--- a/grebedyke/commands/emulators.py
+++ b/grebedyke/commands/emulators.py
@@ -61,6 +61,7 @@
         fail(str(problem))
 
     async def serve():
+        """Serves until the process is stopped."""
         model = ExecutorModel(ExecutorSettings(**settings))
         await _listen(ExecutorEmulator(name, node_addresses, model, script), address)
 
--- a/grebedyke/commands/maintenance.py
+++ b/grebedyke/commands/maintenance.py
@@ -59,6 +59,7 @@
     @maintenance.command(name, help=help_text)
     @node_option
     def command(nodes):
+        """Sends the command to any node and prints its answer."""
         click.echo(call_any_node(nodes, "POST", f"/v1/maintenance/{name}"))
 
 
--- a/grebedyke/commands/members.py
+++ b/grebedyke/commands/members.py
@@ -30,6 +30,7 @@
     @click.argument("number", type=int)
     @node_option
     def command(number, nodes):
+        """Sends the change to any node and prints its answer."""
         click.echo(call_any_node(nodes, "POST", f"/v1/agreement/{name}/{number}"))
 
 
--- a/grebedyke/consensus/acceptor.py
+++ b/grebedyke/consensus/acceptor.py
@@ -61,6 +61,7 @@
     """
 
     def is_past(voter, vote):
+        """Returns whether another vote knows of a later incarnation of the voter."""
         return any(
             supersedes(other.incarnations.get(voter, NO_INCARNATION), vote.incarnation)
             for other in votes.values()
--- a/grebedyke/consensus/consensus.py
+++ b/grebedyke/consensus/consensus.py
@@ -189,6 +189,7 @@
 
     def _change_member(self, now, call, node, is_added):
         def done(now, result):
+            """Answers the call with the result of the change."""
             if result is None:
                 doubt = "no majority answers; it may come about all the same, asking again is harmless"
                 self.answer_call(call, 503, doubt)
--- a/grebedyke/consensus/membership.py
+++ b/grebedyke/consensus/membership.py
@@ -42,6 +42,7 @@
         """Adds or removes one member; done(now, result) with a line for the operator, None where in doubt."""
 
         def change(value):
+            """Returns the members after the change, and a line for the operator."""
             value = value or {"epoch": FIRST_EPOCH, "voters": self.founders, "settled": True}
             voters = sorted({*value["voters"], node} if is_added else {*value["voters"]} - {node})
             if voters == value["voters"]:
@@ -68,20 +69,24 @@
 
     def _settle_next(self, now, epoch, remaining):
         def confirm(value):
+            """Has a value chosen once more as it is."""
             return value, True
 
         def mark_settled(value):
+            """Marks this epoch's change as settled, unless a later change was chosen."""
             if value["epoch"] != epoch:
                 return value, False
             return {**value, "settled": True}, True
 
         def confirmed(now, result):
+            """Goes on with the next key, or gives up for now where no majority answered."""
             if result is None:
                 self.is_settling = False
             else:
                 self._settle_next(now, epoch, remaining)
 
         def settled(now, result):
+            """Lets a later call begin anew."""
             self.is_settling = False
 
         if self.acceptor.epoch != epoch:
--- a/grebedyke/model/endpoint.py
+++ b/grebedyke/model/endpoint.py
@@ -32,7 +32,7 @@
         reported_wait: The wait by the last load report, in ticks.
         start_floors: Least time from sending to start in its zone, in ticks: over an open connection, over a
             new one. Shared by all endpoints of the zone.
-        last_heard_at: When it last showed that it is alive.
+        last_alive_at: When it last showed that it is alive.
         last_sent_at: When this node last sent an attempt there.
         probe_sent_at: When the open probe was sent; 0 without one.
         ejected_until: Left out until then after failures or late starts.
@@ -40,7 +40,7 @@
         rejected_until: By operation, until when it is not asked, having turned that operation away.
         cut_at: When an attempt was cut there while others waited, until it shows whether the slot was freed;
             otherwise 0.
-        credit_kept_until: No further reduction of credit before then.
+        no_reduction_until: No further reduction of credit before then.
     """
 
     __slots__ = (
@@ -49,7 +49,6 @@
         "cell",
         "consecutive_failures",
         "credit",
-        "credit_kept_until",
         "cut_at",
         "ejected_until",
         "expected_wait",
@@ -58,9 +57,10 @@
         "id",
         "in_flight",
         "kind",
-        "last_heard_at",
+        "last_alive_at",
         "last_sent_at",
         "list_state",
+        "no_reduction_until",
         "probe_sent_at",
         "rank",
         "rejected_until",
@@ -91,14 +91,14 @@
         self.expected_wait = 0.0
         self.reported_wait = 0.0
         self.start_floors = [inf, inf]
-        self.last_heard_at = -inf
+        self.last_alive_at = -inf
         self.last_sent_at = -inf
         self.probe_sent_at = 0
         self.ejected_until = 0
         self.consecutive_failures = 0
         self.rejected_until = {}
         self.cut_at = 0
-        self.credit_kept_until = 0
+        self.no_reduction_until = 0
 
     def take_row(self, row):
         """Takes over an `EndpointRow` of the list; a later start is a new process with a clean record."""
--- a/grebedyke/policy/attempt_tracking.py
+++ b/grebedyke/policy/attempt_tracking.py
@@ -28,7 +28,7 @@
             return
         endpoint = attempt.endpoint
         attempt.opened_connection = event.opened_connection
-        endpoint.last_heard_at = now
+        endpoint.last_alive_at = now
         endpoint.rejected_until[attempt.request.operation] = 0
         took = now - attempt.sent_at if start_delay is None else min(start_delay, now - attempt.sent_at)
         if attempt.granting_node is not None:
@@ -42,7 +42,7 @@
         """An attempt still runs (`AttemptProgressed`)."""
         attempt = self._context.open_attempt(event.request_id, event.attempt_index)
         if attempt:
-            attempt.endpoint.last_heard_at = now
+            attempt.endpoint.last_alive_at = now
             attempt.last_report_at = now
             attempt.started_at = attempt.started_at or now
             if attempt.granting_node is not None:
@@ -91,7 +91,7 @@
         endpoint = attempt.endpoint
         request = attempt.request
         operation = request.operation
-        endpoint.last_heard_at = now
+        endpoint.last_alive_at = now
         endpoint.consecutive_failures = 0
         endpoint.rejected_until[operation] = 0
         running_time = max(now - (attempt.started_at or attempt.sent_at), 1)
--- a/grebedyke/policy/concurrency_credit.py
+++ b/grebedyke/policy/concurrency_credit.py
@@ -74,7 +74,7 @@
             endpoint.credit = min(endpoint.credit + gain, MAX_CREDIT)
         elif (
             wait > LATE_MULTIPLE * self.prompt_wait
-            and now > endpoint.credit_kept_until
+            and now > endpoint.no_reduction_until
             and self.reductions.total(now) * 2 <= healthy_count
         ):
             self._reduce(endpoint, now, wait)
@@ -83,7 +83,7 @@
         """Takes credit away by how late a start was, but not for what runs there: so many slots are ours."""
         running = sum(attempt.started_at > 0 for attempt in endpoint.in_flight.values())
         kept = max(MIN_KEPT_CREDIT, LATE_MULTIPLE * self.prompt_wait / wait)
-        endpoint.credit_kept_until = now + REDUCTION_PAUSE
+        endpoint.no_reduction_until = now + REDUCTION_PAUSE
         endpoint.credit = max(MIN_CREDIT, running, endpoint.credit * kept)
         self.reductions.add(now)
 
--- a/grebedyke/policy/cutoff_search.py
+++ b/grebedyke/policy/cutoff_search.py
@@ -51,7 +51,7 @@
         finished_sizes: Running times of the last finished jobs, in ticks at the fleet's mean speed.
         cut_sizes: Running times at which the last cut jobs were cut, likewise.
         slots_freed: Cancels that were seen to free the slot.
-        slots_kept: Cancels that were seen to leave the slot taken.
+        slots_not_freed: Cancels that were seen to leave the slot taken.
         trial_cuts: Cuts since the last fit that were made to see what a cancel does.
         arrivals: WindowCounter of the requests that came in.
         uncuttable: Share of requests that may not be cut, 0 to 1.
@@ -72,7 +72,7 @@
         self.finished_sizes = deque(maxlen=FINISHED_SAMPLES)
         self.cut_sizes = deque(maxlen=CUT_SAMPLES)
         self.slots_freed = 0
-        self.slots_kept = 0
+        self.slots_not_freed = 0
         self.trial_cuts = 0
         self.arrivals = WindowCounter(TICKS_PER_SECOND, ARRIVAL_WINDOW_SECONDS)
         self.uncuttable = 1.0
@@ -103,14 +103,14 @@
         if slot_freed:
             self.slots_freed += 1
         else:
-            self.slots_kept += 1
-        if self.slots_freed + self.slots_kept == ENOUGH_CANCELS:
+            self.slots_not_freed += 1
+        if self.slots_freed + self.slots_not_freed == ENOUGH_CANCELS:
             self.next_fit = now
 
     @property
     def cancel_effect_known(self):
         """Whether enough cancels were observed to score cutting by what they do."""
-        return self.slots_freed + self.slots_kept >= ENOUGH_CANCELS
+        return self.slots_freed + self.slots_not_freed >= ENOUGH_CANCELS
 
     @property
     def trial_cuts_left(self):
@@ -144,7 +144,7 @@
         """Fits the model to what was observed and draws the first generation."""
         self.distribution = bounded_pareto.fit(self.finished_sizes, self.cut_sizes)
         # One more in the divisor: before anything was observed cancels count as effective.
-        ineffective = self.slots_kept / (self.slots_kept + self.slots_freed + 1)
+        ineffective = self.slots_not_freed / (self.slots_not_freed + self.slots_freed + 1)
         arrivals = self.arrivals.total(now) * self.node_count
         arrival_rate = arrivals / (ARRIVAL_WINDOW_SECONDS * TICKS_PER_SECOND)
         self.workload = Workload(arrival_rate, ineffective, self.uncuttable)
--- a/grebedyke/policy/probing.py
+++ b/grebedyke/policy/probing.py
@@ -107,7 +107,7 @@
             endpoint
             for endpoint in pool
             if not endpoint.in_flight
-            and now < endpoint.last_heard_at + RECENT
+            and now < endpoint.last_alive_at + RECENT
             and endpoint.started_at < warm_since
             and endpoint.expected_wait <= endpoints.prompt_wait
         ]
--- a/grebedyke/policy/responsiveness.py
+++ b/grebedyke/policy/responsiveness.py
@@ -38,7 +38,7 @@
     start_limit = prompt_wait + max(floor for floor in (0, *endpoint.start_floors) if floor < inf)
     for attempt in endpoint.in_flight.values():
         if attempt.started_at:
-            due = max(endpoint.last_heard_at, attempt.sent_at) + timeout
+            due = max(endpoint.last_alive_at, attempt.sent_at) + timeout
         else:
             due = attempt.sent_at + start_limit + attempt.start_allowance
         if now > due:
--- a/grebedyke/rate_limits/holder_election.py
+++ b/grebedyke/rate_limits/holder_election.py
@@ -162,6 +162,7 @@
         own_record = LeaseHolderRecord(known_term + 1, self._node_id, self._process)
 
         def become_holder(value):
+            """Returns this process's record, unless the term has moved on meanwhile."""
             # Where another process has been chosen meanwhile, it stays.
             if term_of(value) == known_term:
                 return own_record._asdict(), True
--- a/grebedyke/service/assembly.py
+++ b/grebedyke/service/assembly.py
@@ -171,6 +171,7 @@
     parts = node.parts
 
     def put_in_force(now):
+        """Hands each part its changed settings."""
         reload(now, parts.host.dispatcher, fresh_dispatcher)
         parts.pool.apply_settings(part_settings.pool)
         parts.host.apply_settings(part_settings.requests)
--- a/grebedyke/service/component_host.py
+++ b/grebedyke/service/component_host.py
@@ -224,6 +224,7 @@
         """Writes in a thread: a disk that takes seconds does not hold the event loop up."""
 
         def write():
+            """Returns why the record could not be written, None where it is on disk."""
             try:
                 self.record_files.replace(action.file, action.data)
             except OSError as problem:
@@ -231,6 +232,7 @@
             return None
 
         def report(future):
+            """Reports the end of the write to the component."""
             reason = future.result()
             if reason:
                 logger.error("fleet: {file} is not kept: {why}", event="disk", file=action.file, why=reason)
--- a/grebedyke/service/configuration_reload.py
+++ b/grebedyke/service/configuration_reload.py
@@ -87,6 +87,7 @@
         calls = [part.prepare(configuration) for part in self.parts]
 
         def put_in_force(now):
+            """Puts the changed settings of all parts in force."""
             for call in calls:
                 call(now)
 
--- a/grebedyke/service/fleet_assembly.py
+++ b/grebedyke/service/fleet_assembly.py
@@ -134,6 +134,7 @@
     dispatcher = parts.host.dispatcher
 
     def with_open_attempts(names):
+        """Returns which of these endpoints have attempts open."""
         endpoints = parts.pool.endpoints
         return [name for name in names if name in endpoints and endpoints[name].open_attempts]
 
@@ -152,10 +153,12 @@
     carry_out_for_dispatcher = batch.carry_out
 
     def next_action(now):
+        """Returns the dispatcher's next action, after its last one the components'."""
         action = next_dispatcher_action(now)
         return action if action is not None else host.next_action(now)
 
     def carry_out(now, action):
+        """Carries out an action for the component or dispatcher that asked for it."""
         if isinstance(action, ComponentAction):
             host.perform(now, action.component, action.action)
         else:
@@ -172,6 +175,7 @@
     component_prefix = bytes([framing.VERSION])
 
     def receive(now, sender, data):
+        """Hands a datagram to the components' host or to gossip."""
         if data[:1] == component_prefix:
             host.receive_datagram(now, sender, data)
         else:
@@ -191,7 +195,10 @@
     node.parts.host.dispatcher.quotas.limits = rate_limits.request_limiter
 
     def prepare(configuration):
+        """Returns the call that puts a configuration's limits in force."""
+
         def put_in_force(now):
+            """Puts the limits in force, where the configuration has any."""
             if configuration["shares"] is not None:
                 rate_limits.change_limits(now, settings.limits_of(configuration["shares"]))
 
--- a/grebedyke/service/health_probes.py
+++ b/grebedyke/service/health_probes.py
@@ -51,6 +51,7 @@
         self.is_reported = False
 
     def send(self, now):
+        """Asks the executor for its state, with a timeout."""
         probes = self.probes
         endpoint = probes.pool.endpoint(self.endpoint_id)
         self.call = endpoint.call(b"GET", probes.settings.probe_path, (), b"", self._on_call_end)
--- a/grebedyke/service/log.py
+++ b/grebedyke/service/log.py
@@ -97,6 +97,7 @@
 
 def _open_json_log(name, level, descriptor):
     def describe_loss(count):
+        """Returns the line that stands for lines that were dropped."""
         row = {"level": "WARNING", "node": name, "event": "log-dropped", "lines": count}
         return orjson.dumps(row).decode() + "\n"
 
--- a/grebedyke/testbed/scale_figures.py
+++ b/grebedyke/testbed/scale_figures.py
@@ -160,6 +160,18 @@
     why: str
 
 
+class LimitedFigure(NamedTuple):
+    """What a role used of something, beside its limit.
+
+    Attributes:
+        figure: What was used.
+        limit: What is granted.
+    """
+
+    figure: float
+    limit: float
+
+
 class Excess(NamedTuple):
     """A role that exceeds a limit, by its worst node.
 
@@ -277,12 +289,12 @@
         for usage in usage_by_role(window.nodes):
             nodes = [node for node in window.nodes if (node.role, node.kind) == (usage.role, usage.kind)]
             spreads = usage.spreads
-            figures = (
-                ("cpu", spreads["cpu_parts"].most, CPU_LIMIT),
-                ("bytes", max(node.traffic for node in nodes), TRAFFIC_LIMIT),
-                ("memory", spreads.get("resident", spreads["memory"]).most, MEMORY_LIMIT),
-            )
-            for what, figure, limit in figures:
+            figures = {
+                "cpu": LimitedFigure(spreads["cpu_parts"].most, CPU_LIMIT),
+                "bytes": LimitedFigure(max(node.traffic for node in nodes), TRAFFIC_LIMIT),
+                "memory": LimitedFigure(spreads.get("resident", spreads["memory"]).most, MEMORY_LIMIT),
+            }
+            for what, (figure, limit) in figures.items():
                 if figure > limit:
                     found.append(Excess(name, usage.role, usage.kind, what, figure, limit, figure / limit))
     return found
--- a/grebedyke/validation.py
+++ b/grebedyke/validation.py
@@ -20,6 +20,7 @@
     """Returns a check for a number from `low` to `high`, both included."""
 
     def check(value):
+        """Checks the type and the range."""
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= high:
             raise Invalid(f"is out of its range: {value!r}")
         return value
@@ -37,6 +38,7 @@
     """Returns a check for an integer from `low` to `high`, both included."""
 
     def check(value):
+        """Checks the type and the range."""
         if isinstance(value, bool) or not isinstance(value, int) or not low <= value <= high:
             raise Invalid(f"is no whole number from {low} to {high}: {value!r}")
         return value
@@ -64,6 +66,7 @@
     """Returns a check that accepts None beside what `check` accepts."""
 
     def check_unless_none(value):
+        """Checks any value but None."""
         return None if value is None else check(value)
 
     check_unless_none.description = check.description
--- a/tests/test_cutting.py
+++ b/tests/test_cutting.py
@@ -86,7 +86,7 @@
         node.listed(10, True, rows(*range(1, 9)))
         cutoffs, chance = node.cutoffs, random.Random(3)
         cutoffs.finished_sizes = [100 / (1 - chance.random() * 0.999) ** 1.0 for _ in range(400)]
-        cutoffs.slots_kept, cutoffs.uncuttable = kept, 0.0
+        cutoffs.slots_not_freed, cutoffs.uncuttable = kept, 0.0
         for _ in range(300):
             cutoffs.arrivals.add(99_000)
         cutoffs.step(10, node.endpoints)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -29,7 +29,7 @@
         node = dispatcher(nodes=200, me=0, probes=True, seed=seed)
         node.listed(100_000, True, rows(1, born=99_990) + rows(*range(2, 22)))
         for endpoint in node.endpoints.healthy:
-            endpoint.ejected_until, endpoint.last_heard_at = (0 if endpoint.id == 1 else 10**9), 99_999
+            endpoint.ejected_until, endpoint.last_alive_at = (0 if endpoint.id == 1 else 10**9), 99_999
         node.taken(100_000, 5, "op", None, 150_000, 1_000, 1)
         sent += any(pull(node, now, Probe) for now in range(100_000, 101_000, 100))
     assert sent < 200 * 3 / 20
