--- a/grebedyke/consensus/acceptor.py
+++ b/grebedyke/consensus/acceptor.py
@@ -14,7 +14,7 @@
 from grebedyke.consensus.voting_messages import RefusalReason
 
 
-class Phase(StrEnum):
+class MemberPhase(StrEnum):
     """Where a member stands; only a voting member votes. On disk, on the wire and in the log as they are."""
 
     OUT = "out"
@@ -87,7 +87,7 @@
 
     def __init__(self, node_id, founders):
         self.node_id = node_id
-        self.phase = Phase.OUT
+        self.phase = MemberPhase.OUT
         self.incarnation = NO_INCARNATION
         self.vote_count = 0
         self.incarnations = {}
@@ -106,7 +106,7 @@
 
     def is_voting(self):
         """Returns whether this node is a member that may vote."""
-        return self.phase == Phase.VOTING and self.node_id in self.members
+        return self.phase == MemberPhase.VOTING and self.node_id in self.members
 
     def register(self, key):
         """Returns what was promised and accepted for a key."""
@@ -175,7 +175,7 @@
 
     def _refuse(self, request):
         """Returns the refusal of a proposer whose ballot does not matter, else None."""
-        if self.phase != Phase.VOTING:
+        if self.phase != MemberPhase.VOTING:
             return self._refusal(request, RefusalReason.NOT_VOTING)
         if request.epoch < self.epoch:
             return self._refusal(request, RefusalReason.OLD_EPOCH)
@@ -212,7 +212,7 @@
     def admit(self, node, incarnation):
         """Answers a member that asks to rejoin: all that is known here, or the reason why not."""
         known = self.incarnations.get(node, NO_INCARNATION)
-        if self.phase != Phase.VOTING or supersedes(known, incarnation):
+        if self.phase != MemberPhase.VOTING or supersedes(known, incarnation):
             return Answer(self.status(node), needs_persisting=False)
         self.remember(node, incarnation)
         state = messages.RejoinState(
--- a/grebedyke/consensus/chosen_values.py
+++ b/grebedyke/consensus/chosen_values.py
@@ -5,7 +5,7 @@
 import msgpack
 
 from grebedyke.consensus import messages
-from grebedyke.consensus.acceptor import Phase
+from grebedyke.consensus.acceptor import MemberPhase
 from grebedyke.consensus.ballots import Ballot
 from grebedyke.consensus.delta import apply_delta, delta_between
 from grebedyke.consensus.membership import MEMBERS
@@ -82,7 +82,7 @@
             for node, known in vote_counts.items()
             if node != self.acceptor.node_id
         ]
-        if any(news) and self.acceptor.phase == Phase.VOTING:
+        if any(news) and self.acceptor.phase == MemberPhase.VOTING:
             self.consensus.store.flush_later(now)
 
     def send(self, now, node, key):
--- a/grebedyke/consensus/consensus.py
+++ b/grebedyke/consensus/consensus.py
@@ -1,7 +1,7 @@
 """Consensus as a component of a node: acceptor, proposer, recovery, membership and record together."""
 
 from grebedyke.consensus import messages, vote_store
-from grebedyke.consensus.acceptor import Acceptor, Phase
+from grebedyke.consensus.acceptor import Acceptor, MemberPhase
 from grebedyke.consensus.chosen_values import ChosenValues
 from grebedyke.consensus.component import Component
 from grebedyke.consensus.membership import MEMBERS, Membership
@@ -168,7 +168,7 @@
     def _next_time(self, now):
         """Returns when this component has something to do by time alone, in ticks; None for never."""
         times = self.proposer.next_times(now)
-        if self.acceptor.phase not in (Phase.VOTING, Phase.OUT):
+        if self.acceptor.phase not in (MemberPhase.VOTING, MemberPhase.OUT):
             times.append(self.recovery.next_query_at)
         next_write = self.store.next_write_time()
         if next_write is not None:
--- a/grebedyke/consensus/member_record.py
+++ b/grebedyke/consensus/member_record.py
@@ -1,6 +1,6 @@
 """What a member's record on disk holds, under the names it has there."""
 
-from grebedyke.consensus.acceptor import Phase
+from grebedyke.consensus.acceptor import MemberPhase
 from grebedyke.consensus.ballots import decode_incarnation, decode_register
 
 
@@ -35,4 +35,4 @@
     }
     acceptor.vote_counts = dict(fields["seqs"])
     acceptor.registers = {key: decode_register(register) for key, register in fields["registers"].items()}
-    acceptor.phase = Phase.FOUNDING if fields["phase"] == Phase.FOUNDING else Phase.CHECKING
+    acceptor.phase = MemberPhase.FOUNDING if fields["phase"] == MemberPhase.FOUNDING else MemberPhase.CHECKING
--- a/grebedyke/consensus/membership.py
+++ b/grebedyke/consensus/membership.py
@@ -1,6 +1,6 @@
 """The members, changed one at a time by consensus on a key of its own."""
 
-from grebedyke.consensus.acceptor import Phase
+from grebedyke.consensus.acceptor import MemberPhase
 
 MEMBERS = "members"
 """The key under which the members are agreed on; its value has `epoch`, `voters` and `settled`."""
@@ -30,12 +30,12 @@
             return
         self.consensus.log("members", epoch=epoch, members=list(members))
         is_member = self.acceptor.node_id in members
-        if is_member and self.acceptor.phase == Phase.OUT:
+        if is_member and self.acceptor.phase == MemberPhase.OUT:
             # Like a member that has forgotten, it must hear what the others know before it votes.
             self.consensus.recovery.forget(now, "new among the members")
-        elif not is_member and self.acceptor.phase != Phase.OUT:
-            self.acceptor.phase = Phase.OUT
-        if self.acceptor.phase == Phase.VOTING:
+        elif not is_member and self.acceptor.phase != MemberPhase.OUT:
+            self.acceptor.phase = MemberPhase.OUT
+        if self.acceptor.phase == MemberPhase.VOTING:
             self.consensus.store.mark_dirty()
 
     def change_member(self, now, node, is_added, done):
--- a/grebedyke/consensus/recovery.py
+++ b/grebedyke/consensus/recovery.py
@@ -1,7 +1,7 @@
 """How a member gets to vote when its process starts: founding, checking of its record, or rejoining."""
 
 from grebedyke.consensus import member_record, messages, records
-from grebedyke.consensus.acceptor import Phase
+from grebedyke.consensus.acceptor import MemberPhase
 from grebedyke.consensus.ballots import NO_INCARNATION, Incarnation, supersedes
 from grebedyke.consensus.membership import FIRST_EPOCH
 from grebedyke.errors import CorruptRecordError
@@ -57,13 +57,13 @@
     def _start_founding(self):
         # A lost record looks the same: the others are asked whether they know this member. The incarnation
         # is written before it is told, so that a restart amid the founding is still the same founder.
-        self.acceptor.phase = Phase.FOUNDING
+        self.acceptor.phase = MemberPhase.FOUNDING
         self.acceptor.incarnation = Incarnation(1, self.process_id)
         self.consensus.store.mark_dirty()
 
     def forget(self, now, reason):
         """Stops voting until this member has rejoined: what it has promised and accepted is unknown."""
-        self.acceptor.phase = Phase.FORGOTTEN
+        self.acceptor.phase = MemberPhase.FORGOTTEN
         self.acceptor.registers = {}
         self.acceptor.incarnation = NO_INCARNATION
         self.rejoining_as = None
@@ -72,17 +72,17 @@
         self.consensus.store.forget()
         self.next_query_at = now
         self.reason = reason
-        self.consensus.log("member", phase=Phase.FORGOTTEN.value, why=reason)
+        self.consensus.log("member", phase=MemberPhase.FORGOTTEN.value, why=reason)
 
     def query_members(self, now):
         """Asks the other members where that is due."""
         acceptor = self.acceptor
-        if acceptor.phase in (Phase.VOTING, Phase.OUT) or now < self.next_query_at:
+        if acceptor.phase in (MemberPhase.VOTING, MemberPhase.OUT) or now < self.next_query_at:
             return
         timeout = self.consensus.round_timeout
         self.next_query_at = now + timeout + int(timeout * self.consensus.random_source.draw())
         others = acceptor.other_members()
-        if acceptor.phase == Phase.FORGOTTEN and self.rejoining_as:
+        if acceptor.phase == MemberPhase.FORGOTTEN and self.rejoining_as:
             for node in others:
                 if node not in self.states:
                     self.consensus.send_message(node, messages.RejoinRequest(self.rejoining_as))
@@ -116,7 +116,11 @@
     def on_rejoin_state(self, now, sender, state):
         """Takes what another member knows."""
         is_expected = self.rejoining_as == state.requested_incarnation
-        if not is_expected or self.acceptor.phase != Phase.FORGOTTEN or sender not in self.acceptor.members:
+        if (
+            not is_expected
+            or self.acceptor.phase != MemberPhase.FORGOTTEN
+            or sender not in self.acceptor.members
+        ):
             return
         self.states[sender] = state
         self.check_quorum(now)
@@ -127,16 +131,16 @@
         """Goes on with founding, checking or rejoining if what the other members told is enough."""
         replies = {node: self.replies[node] for node in self.acceptor.other_members() if node in self.replies}
         phase = self.acceptor.phase
-        if phase in (Phase.FOUNDING, Phase.CHECKING) and self._is_outdated(replies):
-            reason = "an older copy" if phase == Phase.CHECKING else "its folder was emptied"
+        if phase in (MemberPhase.FOUNDING, MemberPhase.CHECKING) and self._is_outdated(replies):
+            reason = "an older copy" if phase == MemberPhase.CHECKING else "its folder was emptied"
             self.forget(now, reason)
-        elif phase == Phase.FOUNDING:
+        elif phase == MemberPhase.FOUNDING:
             self._check_founding(now, replies)
-        elif phase == Phase.CHECKING:
+        elif phase == MemberPhase.CHECKING:
             self._check_record(replies)
-        elif phase == Phase.FORGOTTEN and not self.rejoining_as:
+        elif phase == MemberPhase.FORGOTTEN and not self.rejoining_as:
             self._begin_rejoin(now, replies)
-        elif phase == Phase.FORGOTTEN:
+        elif phase == MemberPhase.FORGOTTEN:
             self._finish_rejoin()
 
     def _is_outdated(self, replies):
@@ -161,13 +165,20 @@
     def _is_founded(self, replies):
         """Whether all are there as founders, or have been: one that votes knows this member as a founder."""
         for status in replies.values():
-            if status.phase == Phase.VOTING and status.remembered_incarnation == self.acceptor.incarnation:
+            if (
+                status.phase == MemberPhase.VOTING
+                and status.remembered_incarnation == self.acceptor.incarnation
+            ):
                 return True
         is_complete = len(replies) == len(self.acceptor.other_members())
-        return is_complete and all(status.phase == Phase.FOUNDING for status in replies.values())
+        return is_complete and all(status.phase == MemberPhase.FOUNDING for status in replies.values())
 
     def _check_record(self, replies):
-        intact = [status for status in replies.values() if status.phase in (Phase.CHECKING, Phase.VOTING)]
+        intact = [
+            status
+            for status in replies.values()
+            if status.phase in (MemberPhase.CHECKING, MemberPhase.VOTING)
+        ]
         if len(intact) + 1 >= self.acceptor.quorum_size():
             self._start_voting("its file is the newest")
 
@@ -175,7 +186,7 @@
         remembered = [
             status.remembered_incarnation.number
             for status in replies.values()
-            if status.phase == Phase.VOTING
+            if status.phase == MemberPhase.VOTING
         ]
         if len(remembered) < self.acceptor.quorum_size():
             return
@@ -196,7 +207,7 @@
 
     def _start_voting(self, reason):
         """The phase goes to disk first: else the next start would go by an older record."""
-        self.acceptor.phase = Phase.VOTING
+        self.acceptor.phase = MemberPhase.VOTING
         self.rejoining_as = None
         self.reason = reason
         self.consensus.store.start_voting(reason)
--- a/grebedyke/consensus/vote_store.py
+++ b/grebedyke/consensus/vote_store.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from grebedyke.consensus import member_record, messages, records
-from grebedyke.consensus.acceptor import Phase
+from grebedyke.consensus.acceptor import MemberPhase
 from grebedyke.consensus.actions import PersistRecord
 from grebedyke.consensus.ballots import Incarnation
 
@@ -149,7 +149,7 @@
     def _write_failed(self, now):
         self.failure_count += 1
         self.paused_until = now + PAUSE_AFTER_FAILURE * self.consensus.round_timeout
-        if self.acceptor.phase == Phase.FOUNDING:
+        if self.acceptor.phase == MemberPhase.FOUNDING:
             # Nobody has been told anything yet, so the same may be written again.
             self.mark_dirty()
             return
@@ -174,7 +174,7 @@
         """
         if write.vote_count <= self.announced_vote_count:
             return
-        if self.acceptor.phase != Phase.VOTING or write.incarnation != self.acceptor.incarnation:
+        if self.acceptor.phase != MemberPhase.VOTING or write.incarnation != self.acceptor.incarnation:
             return
         self.announced_vote_count = write.vote_count
         for node in self.acceptor.other_members():
--- a/grebedyke/maintenance/component.py
+++ b/grebedyke/maintenance/component.py
@@ -6,7 +6,7 @@
 from grebedyke.errors import ConfigurationError
 from grebedyke.maintenance import commands
 from grebedyke.maintenance.driver import Driver
-from grebedyke.maintenance.endpoints import EndpointList
+from grebedyke.maintenance.endpoints import KnownEndpoints
 from grebedyke.maintenance.exclusions import Exclusions, excluded_endpoints
 from grebedyke.maintenance.messages import LeaseAnswer, LeaseRequest, MessageKind
 from grebedyke.maintenance.observations import Observations
@@ -59,7 +59,7 @@
         self.lease = ViewLease(consensus, settings.lease)
         self.record = ViewRecord(fleet, node_id)
         self.exclusions = Exclusions(settings.drain_grace)
-        self.endpoints = EndpointList()
+        self.endpoints = KnownEndpoints()
         self.observations = Observations(node_count, settings, self.endpoints)
         self.driver = Driver(consensus, self.observations, settings.lease)
         self.last_number = 0
--- a/grebedyke/maintenance/endpoints.py
+++ b/grebedyke/maintenance/endpoints.py
@@ -53,7 +53,7 @@
     first_listed_at: int
 
 
-class EndpointList:
+class KnownEndpoints:
     """The newest endpoint list, and since when this node knows each endpoint's present start.
 
     Attributes:
--- a/grebedyke/maintenance/observations.py
+++ b/grebedyke/maintenance/observations.py
@@ -33,7 +33,7 @@
     Attributes:
         node_count: How many nodes the fleet has.
         settings: The `MaintenanceSettings`.
-        endpoints: The `EndpointList`.
+        endpoints: The `KnownEndpoints`.
         acknowledgements: What each node last said of itself, by node.
     """
 
--- a/grebedyke/maintenance/view_lease.py
+++ b/grebedyke/maintenance/view_lease.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class PendingRequest:
+class PendingLeaseRequest:
     """A lease request that went to all voters.
 
     Attributes:
@@ -45,7 +45,7 @@
         self.duration = duration
         self.certain_until: int | None = None
         self.next_request_at = 0
-        self.pending_requests: dict[int, PendingRequest] = {}
+        self.pending_requests: dict[int, PendingLeaseRequest] = {}
 
     @property
     def was_ever_certain(self):
@@ -71,7 +71,7 @@
     def start_request(self, now, number, revision):
         """Notes that a lease for `revision` is requested now; requests too old to count are dropped."""
         self.next_request_at = now + self.duration // REQUESTS_PER_LEASE
-        self.pending_requests[number] = PendingRequest(now, revision, self.consensus.epoch)
+        self.pending_requests[number] = PendingLeaseRequest(now, revision, self.consensus.epoch)
         self.pending_requests = {
             pending_number: pending
             for pending_number, pending in self.pending_requests.items()
--- a/grebedyke/policy/admission.py
+++ b/grebedyke/policy/admission.py
@@ -29,7 +29,7 @@
         request = self._open(now, event, over_quota)
         self._count(now, request)
         self._queue.add(request)
-        limits = context.quotas.limits
+        limits = context.quotas.request_limiter
         if limits and (retry_after := limits.try_acquire(now, request)):
             request.latest_start = now
             request.retry_after = retry_after
--- a/grebedyke/policy/cutting.py
+++ b/grebedyke/policy/cutting.py
@@ -80,5 +80,5 @@
 
     def _is_retry_affordable(self, request, now):
         left, allowance = self._context.retry_budget.available(now)
-        limits = self._context.quotas.limits
+        limits = self._context.quotas.request_limiter
         return left >= max(1, allowance / 2) and (not limits or limits.may_retry(now, request))
--- a/grebedyke/policy/dispatcher.py
+++ b/grebedyke/policy/dispatcher.py
@@ -83,7 +83,11 @@
         self._handlers[type(event)](now, event)
 
     def next_action(self, now):
-        """The next action (`grebedyke.model.actions`), or None where there is nothing more to do."""
+        """Returns the next action (`grebedyke.model.actions`), or None where there is nothing more to do.
+
+        An exception of a rule ends the pass: what the pass had not looked at yet waits for the next event or
+        timer. The host logs it and goes on.
+        """
         self._actions = self._actions or self._work(now)
         action = next(self._actions, None)
         if action is None:
--- a/grebedyke/policy/placement.py
+++ b/grebedyke/policy/placement.py
@@ -108,8 +108,8 @@
         context = self._context
         if request.attempts and request.origin_node is None:
             context.retry_budget.retries.add(now)
-            if context.quotas.limits:
-                context.quotas.limits.retry_started(now, request)
+            if context.quotas.request_limiter:
+                context.quotas.request_limiter.retry_started(now, request)
         attempt = Attempt(request, endpoint, now, granting_node)
         context.endpoints.sends.add(now)
         self._rules.lending.searches.pop(request.slot_request_number, None)
--- a/grebedyke/policy/request_queue.py
+++ b/grebedyke/policy/request_queue.py
@@ -48,8 +48,8 @@
         self._lending.end_search(request)
         if not request.open_attempts:
             context.requests.pop(request.id, None)
-            if context.quotas.limits:
-                context.quotas.limits.release(request)
+            if context.quotas.request_limiter:
+                context.quotas.request_limiter.release(request)
 
     def next_wake(self, now, others):
         """A time to wake at, or None where the last one still holds.
--- a/grebedyke/policy/retry_budget.py
+++ b/grebedyke/policy/retry_budget.py
@@ -5,10 +5,9 @@
 `available` right before each retry and sends none unless at least one is left. docs/design.md shows why no
 sequence of inputs goes beyond the budget.
 
-Counts are kept in buckets of a forty-eighth of the window. At the window's edge each side counts where it
-allows
-less: requests only in buckets that lie wholly within the window, less one; retries in two buckets more than
-    the window has. So a judge who reads the clock a bucket apart comes to no other result.
+Counts are kept in buckets of a forty-eighth of the window. At the window's edge both counts err towards fewer
+retries: requests count only in buckets that lie wholly within the window, less one; retries in two buckets
+more than the window has. So the budget also holds by an outside observer's clock that is a bucket apart.
 """
 
 from math import inf
--- a/grebedyke/policy/retry_eligibility.py
+++ b/grebedyke/policy/retry_eligibility.py
@@ -39,7 +39,7 @@
     def may_still_come(self, request, now):
         """Whether a retry may still come of it; budget and limits are those of the request's own node."""
         context = self._context
-        limits = context.quotas.limits
+        limits = context.quotas.request_limiter
         within_limits = not limits or limits.may_retry(now, request)
         if request.origin_node is None:
             if not within_limits or context.retry_budget.available(now).left < 1:
--- a/grebedyke/policy/tenant_quotas.py
+++ b/grebedyke/policy/tenant_quotas.py
@@ -30,7 +30,7 @@
         node_count: Parts that a quota is split into where the caller names no other number.
         tenants: Names of the tenants with a quota, in the order by which nodes number them to each other.
         buckets: State of the token bucket, by tenant; a tenant without one has a full bucket.
-        limits: Limiter for the fleet's limits, or None where the fleet has none; set by the host.
+        request_limiter: Limiter for the fleet's limits, or None where the fleet has none; set by the host.
     """
 
     def __init__(self, quotas, node_count):
@@ -38,7 +38,7 @@
         self.node_count = node_count
         self.tenants = [*quotas]
         self.buckets = {}
-        self.limits = None
+        self.request_limiter = None
 
     def adopt_settings(self, fresh):
         """Takes over the settings of newly built quotas; buckets of tenants that still have a quota stay."""
--- a/grebedyke/rate_limits/component.py
+++ b/grebedyke/rate_limits/component.py
@@ -7,6 +7,7 @@
 
 from grebedyke.consensus.component import Component
 from grebedyke.rate_limits import messages
+from grebedyke.rate_limits.definitions import LimitKind
 from grebedyke.rate_limits.holder_election import REGISTER, HolderElection, record_of
 from grebedyke.rate_limits.lease_holder import LeaseHolder
 from grebedyke.rate_limits.messages import PlaceAnswer, PlaceRequest, ShareGrant, ShareRequest
@@ -92,7 +93,7 @@
             self.log(
                 "holder",
                 term=holder.term,
-                grants_in_ms=self.terms.takeover_wait() // TICKS_PER_MILLISECOND,
+                grants_in_ms=self.terms.takeover_wait(LimitKind.RATE) // TICKS_PER_MILLISECOND,
             )
 
     def operator_call(self, now, call, method, path, body):
@@ -133,7 +134,7 @@
             "asked_ms_ago": None if sent_at is None else (now - sent_at) // TICKS_PER_MILLISECOND,
             # A node that has been cut off goes on by its floor after that.
             "share_ends_ms": self.terms.lease // TICKS_PER_MILLISECOND,
-            "next_holder_waits_ms": self.terms.takeover_wait() // TICKS_PER_MILLISECOND,
+            "next_holder_waits_ms": self.terms.takeover_wait(LimitKind.RATE) // TICKS_PER_MILLISECOND,
             "files_differ": self.share_client.limits_differ,
         }
 
--- a/grebedyke/rate_limits/lease_terms.py
+++ b/grebedyke/rate_limits/lease_terms.py
@@ -45,7 +45,7 @@
         """Returns the ticks by any clock after which what a dead node admitted last has ended."""
         return drift_bound(self.run_on, self.clock_drift)
 
-    def takeover_wait(self, kind=None):
+    def takeover_wait(self, kind):
         """Returns how long a new holder grants nothing of limits of that `kind`, in ticks by its own clock.
 
         The former holder may keep its place for one lease, and a share that it granted at the end of it is
--- a/grebedyke/service/assembly.py
+++ b/grebedyke/service/assembly.py
@@ -14,7 +14,7 @@
 from grebedyke.service.node import Node, NodeParts
 from grebedyke.service.node_settings import descriptor_shares, node_settings, with_fitting_interval
 from grebedyke.service.process_messages import ProcessMessages
-from grebedyke.service.reload import reload
+from grebedyke.service.reload import adopt_settings
 from grebedyke.wire.client_listener import ClientListener
 from grebedyke.wire.discovery_client import DiscoveryClient
 from grebedyke.wire.executor_pool import ExecutorPool
@@ -171,7 +171,7 @@
     parts = node.parts
 
     def put_in_force(now):
-        reload(now, parts.host.dispatcher, fresh_dispatcher)
+        adopt_settings(now, parts.host.dispatcher, fresh_dispatcher)
         parts.pool.apply_settings(part_settings.pool)
         parts.host.apply_settings(part_settings.requests)
         parts.listener.apply_settings(part_settings.listener)
--- a/grebedyke/service/attempt_sender.py
+++ b/grebedyke/service/attempt_sender.py
@@ -18,6 +18,10 @@
 class AttemptSender:
     """Sends attempts and ends each of them exactly once.
 
+    The end of an attempt reports `AttemptEnded` and then releases its request; the release of a request whose
+    client has left withdraws its other attempts that were never sent, which end in turn. So `end`,
+    `RequestTable.release` and `withdraw_unsent` call each other, and each passes over what has ended.
+
     An attempt may end by its response, a call-back, a lost connection, its timeout, a cancel or because its
     request is over, and several of these may come at once: the first one counts, and all others find
     `is_ended`.
--- a/grebedyke/service/component_host.py
+++ b/grebedyke/service/component_host.py
@@ -101,7 +101,9 @@
 
         Args:
             inherited: Whether another process of this node serves and has passed its bans on. Without them
-                no endpoint is used until the components know which ones are out.
+                no endpoint is used until the components know which ones are out. With them that holds only
+                until this process has the folder: then each component excludes by its own record, and
+                maintenance everything until its first view lease.
 
         Raises:
             ConfigurationError: The folder is another node's or cannot be used.
--- a/grebedyke/service/fleet_assembly.py
+++ b/grebedyke/service/fleet_assembly.py
@@ -188,7 +188,7 @@
         return
     from grebedyke.rate_limits import settings
 
-    node.parts.host.dispatcher.quotas.limits = rate_limits.request_limiter
+    node.parts.host.dispatcher.quotas.request_limiter = rate_limits.request_limiter
 
     def prepare(configuration):
         def put_in_force(now):
--- a/grebedyke/service/node.py
+++ b/grebedyke/service/node.py
@@ -31,7 +31,7 @@
 FLUSH_TIME_S = 0.02
 
 
-class Phase(Enum):
+class NodePhase(Enum):
     """What a node is doing.
 
     Attributes:
@@ -49,10 +49,10 @@
 
 NEXT_PHASES = {
     # A start that is told to end before it listens has no request to answer.
-    Phase.STARTING: {Phase.SERVING, Phase.STOPPED},
-    Phase.SERVING: {Phase.STOPPING},
-    Phase.STOPPING: {Phase.STOPPED},
-    Phase.STOPPED: set(),
+    NodePhase.STARTING: {NodePhase.SERVING, NodePhase.STOPPED},
+    NodePhase.SERVING: {NodePhase.STOPPING},
+    NodePhase.STOPPING: {NodePhase.STOPPED},
+    NodePhase.STOPPED: set(),
 }
 
 
@@ -93,7 +93,7 @@
         parts: The `NodeParts`.
         reloading: The `ConfigurationReload`.
         longest_timeout: The longest client timeout in ticks; after it no request is open.
-        phase: The `Phase`.
+        phase: The `NodePhase`.
         stopped: Future that is done at the end.
         component_host: Hosts the components of a fleet; None outside of one.
         is_stop_requested: Whether the signal to end came before the node served.
@@ -104,7 +104,7 @@
         self.parts = parts
         self.reloading = reloading
         self.longest_timeout = longest_timeout
-        self.phase = Phase.STARTING
+        self.phase = NodePhase.STARTING
         self.stopped = parts.loop.create_future()
         self.component_host = None
         self.is_stop_requested = False
@@ -120,7 +120,7 @@
 
     def is_serving(self):
         """Returns whether the node serves and is not told to end."""
-        return self.phase == Phase.SERVING
+        return self.phase == NodePhase.SERVING
 
     def enter(self, phase):
         """Goes on to another phase.
@@ -199,7 +199,7 @@
 
     def _begin_serving(self):
         parts = self.parts
-        self.enter(Phase.SERVING)
+        self.enter(NodePhase.SERVING)
         parts.hot_restart.offer()
         parts.batch.call_later(TICKS_PER_SECOND, self._each_second, 1)
         parts.batch.watchdog_tick()
@@ -243,7 +243,7 @@
         if not self.is_serving():
             self.is_stop_requested = True
             return
-        self.enter(Phase.STOPPING)
+        self.enter(NodePhase.STOPPING)
         self.shutdown.begin(self.longest_timeout)
 
     def finish(self):
@@ -255,7 +255,7 @@
         parts.discovery.close()
         parts.peers.close()
         parts.metrics.report()
-        self.enter(Phase.STOPPED)
+        self.enter(NodePhase.STOPPED)
         # In one pass of the loop what was written last goes to the kernel.
         parts.loop.call_soon(parts.loop.call_later, FLUSH_TIME_S, self.close)
 
--- a/grebedyke/service/reload.py
+++ b/grebedyke/service/reload.py
@@ -9,7 +9,7 @@
 from grebedyke.policy.giving_up import last_moment
 
 
-def reload(now, dispatcher, fresh):
+def adopt_settings(now, dispatcher, fresh):
     """Puts the settings of `fresh` in force: a dispatcher just built of them, which is used up."""
     endpoints = dispatcher.endpoints
     renumbered = any(
--- a/grebedyke/service/request_table.py
+++ b/grebedyke/service/request_table.py
@@ -45,7 +45,7 @@
             client.respond(409, b"this X-Request-ID is under way")
             return
         now = self.batch.clock()
-        if self._is_full(now):
+        if self._must_reject(now):
             client.respond(503)
             return
         deadline = now + max(incoming.timeout - self.settings.response_margin, 0)
@@ -67,13 +67,14 @@
         else:
             self.batch.enqueue(self._admit, request, incoming, deadline)
 
-    def _is_full(self, now):
+    def _must_reject(self, now):
+        """Returns whether a request cannot be taken: the table is full, or the process is about to end."""
         if len(self.pending) >= self.settings.max_open_requests:
             return True
         # At the end of a shutdown there is no time for an attempt. The client may try elsewhere without harm,
         # while an error would be final.
         step = 2 * self.settings.scheduling_interval
-        return self.shutdown_at and now + step >= self.shutdown_at
+        return self.shutdown_at is not None and now + step >= self.shutdown_at
 
     def _answer_by(self, deadline, time_unread):
         """Returns the time by which this process answers; the dispatcher reckons with the deadline itself.
--- a/grebedyke/service/start.py
+++ b/grebedyke/service/start.py
@@ -9,8 +9,8 @@
 
 from grebedyke.service import assembly, configuration, log, node
 
-# At a reload the file goes before the environment in what may change.
-FIXED_AT_START = ("name", "listen", "console", "counts")
+# At a reload the environment still goes before the file in these; discovery follows the file alone.
+ENVIRONMENT_OVERRIDES_ON_RELOAD = ("name", "listen", "console", "counts")
 
 
 class ExitCode(IntEnum):
@@ -46,7 +46,7 @@
         node_configuration = configuration.read_node(environ)
         log.open_log(node_configuration["name"], log_level, log_format)
         if not only_check:
-            read_again = partial(configuration.read_node, environ, FIXED_AT_START)
+            read_again = partial(configuration.read_node, environ, ENVIRONMENT_OVERRIDES_ON_RELOAD)
             asyncio.run(node.run(assemble, node_configuration, read_again))
     except configuration.ConfigurationError as problem:
         logger.error("configuration: {why}", event="configuration", why=str(problem))
--- a/grebedyke/testbed/broken_builds.py
+++ b/grebedyke/testbed/broken_builds.py
@@ -88,7 +88,7 @@
     if known or self.acceptor.node_id not in self.founders:
         return _restore_correctly(self, now, data)
     self.next_query_at = now
-    self.acceptor.phase = acceptor.Phase.VOTING
+    self.acceptor.phase = acceptor.MemberPhase.VOTING
     self.acceptor.incarnation = Incarnation(1, 1)
     self.acceptor.epoch = 1
     self.consensus.store.mark_dirty()
--- a/grebedyke/testbed/simulated_node.py
+++ b/grebedyke/testbed/simulated_node.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from functools import partial
 
-from grebedyke.consensus.acceptor import Phase
+from grebedyke.consensus.acceptor import MemberPhase
 from grebedyke.consensus.actions import (
     AnswerCall,
     ExcludeEndpoints,
@@ -237,7 +237,7 @@
         if not self.is_running:
             return False
         consensus = self.components[0]
-        is_voting = consensus.acceptor.phase == Phase.VOTING
+        is_voting = consensus.acceptor.phase == MemberPhase.VOTING
         return is_voting and consensus.store.is_clean() and not self.disk.fails
 
     def may_use(self, executor_name):
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -92,7 +92,7 @@
             parts.discovery.settings = settings._replace(long_poll_wait=self.long_poll_wait)
         self.serving = asyncio.create_task(self.node.serve())
         if self.waits:
-            await until(lambda: self.node.phase == node.Phase.SERVING or self.serving.done(), "serving")
+            await until(lambda: self.node.phase == node.NodePhase.SERVING or self.serving.done(), "serving")
         return self
 
     def node_configuration(self):
@@ -164,7 +164,7 @@
             self.serving.cancel()
             return False
         await self.until_idle()
-        if self.node.phase == node.Phase.SERVING:
+        if self.node.phase == node.NodePhase.SERVING:
             self.node.stop()
         await asyncio.wait_for(self.serving, PATIENCE)
         await until(self.all_closed, "all closed")
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -287,7 +287,7 @@
         self.write({})
         self.node = assemble(asyncio.get_running_loop(), self.read(), self.read)
         self.serving = asyncio.create_task(self.node.serve())
-        while self.node.phase != node.Phase.SERVING:
+        while self.node.phase != node.NodePhase.SERVING:
             await asyncio.sleep(0.01)
 
     def write(self, rules):
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -5,7 +5,7 @@
 import pytest
 
 from grebedyke import errors
-from grebedyke.consensus.acceptor import Phase
+from grebedyke.consensus.acceptor import MemberPhase
 from grebedyke.consensus.actions import PersistRecord, SendMessage
 from grebedyke.consensus.ballots import Incarnation
 from grebedyke.consensus.consensus import Consensus
@@ -79,7 +79,7 @@
 
     def run_until_voting(self, now, node, nodes=(0, 1, 2)):
         """Goes on until that node votes."""
-        return self.run(now, lambda: self.voters[node].acceptor.phase == Phase.VOTING, nodes=nodes)
+        return self.run(now, lambda: self.voters[node].acceptor.phase == MemberPhase.VOTING, nodes=nodes)
 
     def choose(self, now, node, value, passes=let_all_through):
         """Has a value proposed at one node; returns the time and the results."""
@@ -98,7 +98,7 @@
 
 def founded_group():
     group = VoterGroup()
-    now = group.run(0, lambda: all(voter.acceptor.phase == Phase.VOTING for voter in group.voters))
+    now = group.run(0, lambda: all(voter.acceptor.phase == MemberPhase.VOTING for voter in group.voters))
     return group, now
 
 
@@ -107,9 +107,9 @@
     now, results = group.choose(now, 0, {"v": 1})
     assert results == [True]
     for phase, disk, incarnation_number in (
-        (Phase.CHECKING, dict(group.disks[1]), 1),
+        (MemberPhase.CHECKING, dict(group.disks[1]), 1),
         # Without its record it has another incarnation, and knows what it had voted for all the same.
-        (Phase.FOUNDING, {}, 2),
+        (MemberPhase.FOUNDING, {}, 2),
     ):
         voter = group.restart(1, disk)
         assert voter.acceptor.phase == phase
@@ -145,8 +145,8 @@
     group.restart(0, {})
     now = group.run_until_voting(now, 0)
     voter = group.restart(1, older_copy)
-    group.run(now, lambda: voter.acceptor.phase != Phase.CHECKING, nodes=(0, 1))
-    return voter.acceptor.phase == Phase.VOTING
+    group.run(now, lambda: voter.acceptor.phase != MemberPhase.CHECKING, nodes=(0, 1))
+    return voter.acceptor.phase == MemberPhase.VOTING
 
 
 def test_who_is_let_in_again_knows_how_far_the_others_are():
@@ -203,10 +203,10 @@
 
         def votes(voter=voter, phases=phases):
             phases.append(voter.acceptor.phase)
-            return phases[-1] == Phase.VOTING
+            return phases[-1] == MemberPhase.VOTING
 
         now = group.run(now, votes)
-        assert Phase.FORGOTTEN in phases and phases[-1] == Phase.VOTING, disk
+        assert MemberPhase.FORGOTTEN in phases and phases[-1] == MemberPhase.VOTING, disk
     of_another_fleet = Consensus(SeededRandom(0), "g", 2, 3, [0, 1, 2], 5, ROUND_TIMEOUT)
     with pytest.raises(errors.ForeignRecordError):
         of_another_fleet.restore(0, {"votes": newest})
@@ -218,7 +218,7 @@
     for node in (1, 2):
         group.restart(node, {})
     now = group.run(now, lambda: False)
-    assert [group.voters[node].acceptor.phase for node in (1, 2)] == [Phase.FORGOTTEN] * 2
+    assert [group.voters[node].acceptor.phase for node in (1, 2)] == [MemberPhase.FORGOTTEN] * 2
     # Said plainly, not half done.
     assert group.choose(now, 0, {"v": 2})[1] == [None]
 
@@ -276,7 +276,7 @@
         world.run(world.now + 60_000)
     assert answers == [True, (200, "done"), (200, "done"), (200, "done")]
     assert [member.members for member in members] == [[1, 2, 3, 4]] * 5
-    assert [member.acceptor.phase for member in members] == ["out", *[Phase.VOTING] * 4]
+    assert [member.acceptor.phase for member in members] == ["out", *[MemberPhase.VOTING] * 4]
     assert all(member.chosen_value("members")["settled"] for member in members)
     assert members[4].acceptor.registers["board"].value == Rollout().encode()
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -200,7 +200,7 @@
         terms = LeaseTerms(node_count=1, lease=1_000_000, clock_drift=0.02, run_on=500)
         limiter = RequestLimiter([limit], terms, clock())
         limiter.meters[limit.wire_id].receive_share(clock(), 1, 1 << 60)
-        scene.dispatcher.quotas.limits = limiter
+        scene.dispatcher.quotas.request_limiter = limiter
         first = scene.clients(1, 0)
         clients = scene.clients(count)
         scene.send_requests(first)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -177,7 +177,7 @@
         )
         process = assemble(asyncio.get_running_loop(), node_configuration, lambda: node_configuration)
         serving = asyncio.create_task(process.serve())
-        while process.phase != node.Phase.SERVING:
+        while process.phase != node.NodePhase.SERVING:
             await asyncio.sleep(0.01)
         return process, serving, node_configuration["console"]
 
@@ -279,7 +279,7 @@
         processes.append(assemble(asyncio.get_running_loop(), read(), read))
         write("a", "b")  # while it starts
         tasks.append(asyncio.create_task(processes[-1].serve()))
-        while processes[-1].phase != node.Phase.SERVING:
+        while processes[-1].phase != node.NodePhase.SERVING:
             await asyncio.sleep(0.01)
         await asyncio.sleep(MESSAGE_TIME_S)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -116,7 +116,7 @@
         fast = 1 + drift / 2
         if terms.grant_bound() / fast < terms.lease / slow:
             return False
-        if terms.takeover_wait() / fast < 2 * terms.lease / slow:
+        if terms.takeover_wait(LimitKind.RATE) / fast < 2 * terms.lease / slow:
             return False
     return True
 
@@ -262,7 +262,7 @@
     policy.listed(10, True, rows("e1", "e2"))
     terms = LeaseTerms(node_count=1, lease=8_000, clock_drift=0.0, run_on=0)
     pay = Limit("pay", LimitKind.CONCURRENCY, size=1, floor=1, operation="op")
-    policy.quotas.limits = RequestLimiter([pay], terms, -100_000)
+    policy.quotas.request_limiter = RequestLimiter([pay], terms, -100_000)
     policy.taken(100, "first", "op", "t", 50_000, 0, 1)
     assert first_of(policy, 100) == (Forward, "first")
     policy.taken(200, "second", "op", "t", 50_000, 0, 1)
@@ -276,14 +276,14 @@
     assert first_of(policy, 600) == (Forward, "fourth")
     # Retries have a limit of their own: without one left a request is given up at once.
     again = Limit("again", LimitKind.RATE, size=1_000, burst=1, floor=1_000, operation="op", on_retries=True)
-    policy.quotas.limits = RequestLimiter([again], terms, 0)
+    policy.quotas.request_limiter = RequestLimiter([again], terms, 0)
     policy.taken(20_000, "fifth", "op", "t", 70_000, 0, 1)
     for now, attempt in ((20_000, 0), (20_100, 1)):
         assert first_of(policy, now) == (Forward, "fifth")
         policy.ended(now + 50, "fifth", attempt, Outcome.NEVER_SENT, False)
     assert first_of(policy, 20_200) == (Throttle, "fifth")
     # A soft one only marks what is over: it comes behind the rest.
-    policy.quotas.limits = RequestLimiter([pay._replace(soft=True, size=1)], terms, -100_000)
+    policy.quotas.request_limiter = RequestLimiter([pay._replace(soft=True, size=1)], terms, -100_000)
     soft = [policy.taken(700 + i, f"soft{i}", "op", "t", 50_000, 0, 1).over_quota for i in range(2)]
     assert soft == [False, True]
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,7 @@
 from grebedyke.model.events import EndpointsChanged
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import assemble
-from grebedyke.service.reload import reload
+from grebedyke.service.reload import adopt_settings
 
 # An operation that only some of the files have.
 FURTHER_OPERATION = {**OPERATIONS[0], "name": "more"}
@@ -121,7 +121,7 @@
             read = reader_of(self.folder / name)
             self.nodes[name] = assemble(asyncio.get_running_loop(), read(), read)
             self.serving.append(asyncio.create_task(self.nodes[name].serve()))
-        while any(one.phase != node.Phase.SERVING for one in self.nodes.values()):
+        while any(one.phase != node.NodePhase.SERVING for one in self.nodes.values()):
             await asyncio.sleep(0.01)
 
     def write(self, name, has_peers):
@@ -146,7 +146,7 @@
         )
         (self.folder / name).write_bytes(orjson.dumps(content))
 
-    def reload(self, name, has_peers):
+    def adopt_settings(self, name, has_peers):
         """Changes a node's file and reloads it."""
         self.write(name, has_peers)
         self.nodes[name].reload()
@@ -268,7 +268,7 @@
     for settings in (second, first, second):
         expected = settings_in_force(fresh_dispatcher(settings))
         assert settings_in_force(dispatcher) != expected
-        reload(20, dispatcher, configuration.open_dispatcher("1", settings))
+        adopt_settings(20, dispatcher, configuration.open_dispatcher("1", settings))
         assert settings_in_force(dispatcher) == expected
 
 
@@ -297,7 +297,7 @@
     async def play():
         read = reader_of(file)
         reloaded = assemble(asyncio.get_running_loop(), read(), read)
-        reloaded.phase = node.Phase.SERVING
+        reloaded.phase = node.NodePhase.SERVING
         rules = rules_of(reloaded.parts.host.dispatcher.endpoints)
         before = [vars(rule).copy() for rule in rules]
         for content, words in FAULTY_FILES:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -135,7 +135,7 @@
     ending_node = assemble(asyncio.get_running_loop(), node_configuration, None)
     serving = asyncio.create_task(ending_node.serve())
     address = node_configuration["listen"]
-    while ending_node.phase != node.Phase.SERVING:
+    while ending_node.phase != node.NodePhase.SERVING:
         await asyncio.sleep(0.01)
     health_check = b"GET /up HTTP/1.1\r\n\r\n"
     assert b" 200 " in await send_message(address, health_check)
@@ -167,15 +167,15 @@
     monkeypatch.setattr(graceful_shutdown, "LONGEST_SHUTDOWN", 10_000)
     for calls_back, status in ((True, b" 200 "), (False, b" 500 ")):
         response, phase = asyncio.run(request_during_shutdown(calls_back))
-        assert status in response and phase == node.Phase.STOPPED
+        assert status in response and phase == node.NodePhase.STOPPED
         assert (b"Connection: close" in response) == (not calls_back)
 
 
 def test_phases_have_one_way():
     for phase, other in (
-        (node.Phase.SERVING, node.Phase.STARTING),
-        (node.Phase.STOPPED, node.Phase.SERVING),
-        (node.Phase.STARTING, node.Phase.STOPPING),
+        (node.NodePhase.SERVING, node.NodePhase.STARTING),
+        (node.NodePhase.STOPPED, node.NodePhase.SERVING),
+        (node.NodePhase.STARTING, node.NodePhase.STOPPING),
     ):
         assert other not in node.NEXT_PHASES[phase]
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -148,7 +148,7 @@
                 await until(lambda: harness.node.is_stop_requested, "the signal")
 
             harness.listener.listen = listen_and_stop
-            await until(lambda: harness.node.phase == node.Phase.STOPPING, "the shutdown")
+            await until(lambda: harness.node.phase == node.NodePhase.STOPPING, "the shutdown")
             await until(lambda: executor.received, "the attempt")
             await harness.call_back("done")
             response = await clients[0].response()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -156,7 +156,7 @@
         async with harness:
             await until(lambda: discovery.polls, "the first poll")
             connecting = asyncio.create_task(asyncio.to_thread(connected, harness.address))
-            assert harness.node.phase == node.Phase.STARTING
+            assert harness.node.phase == node.NodePhase.STARTING
             discovery.answer(2, executor.row(status="Terminating"), other.row())
             client = (await connecting).send_request()
             await until(lambda: other.received or executor.received, "the attempt")
@@ -184,7 +184,7 @@
         executor = await ExecutorEmulator().start()
         discovery = await DiscoveryEmulator().start()
         async with NodeHarness(executor.row(), discovery=discovery) as harness:
-            assert discovery.polls and harness.node.phase == node.Phase.SERVING
+            assert discovery.polls and harness.node.phase == node.NodePhase.SERVING
             client = BlockingClient(harness.address).send_request()
             await until(lambda: executor.received, "the attempt")
             await harness.finish(client)
