--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -17,7 +17,7 @@
 from grebedyke.policy.retry_budget import FOREVER, RetryBudget
 from grebedyke.service import configuration, node
 from grebedyke.service.assembly import assemble
-from grebedyke.service.reload import reload
+from grebedyke.service.reload import adopt_settings
 
 WINDOW = 50_000  # ticks
 
@@ -171,7 +171,7 @@
     def reload(self):
         """Other settings: shorter, longer, none or again some; what went before is in the window."""
         self.terms = self.random.choice(self.RELOADED_TERMS)
-        reload(self.now, self.dispatcher, dispatcher(budget=self.terms))
+        adopt_settings(self.now, self.dispatcher, dispatcher(budget=self.terms))
 
     def hand_over(self):
         """A new process goes on; what is open ends at the old one, which sends no retry any more."""
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -12,7 +12,7 @@
 from grebedyke.model.outcome import Outcome
 from grebedyke.service import configuration
 from grebedyke.service.node_settings import node_settings, with_fitting_interval
-from grebedyke.service.reload import reload
+from grebedyke.service.reload import adopt_settings
 from grebedyke.wire.client_listener import ListenerSettings
 
 
@@ -86,7 +86,7 @@
     dispatcher.handle(10, EndpointsChanged(True, listed))
     dispatcher.handle(100, RequestArrived(b"r1", "op", None, 80_100, 0, 1))
     ((id, first, _),) = pull(dispatcher, 100, Forward)
-    reload(200, dispatcher, configuration.open_dispatcher("1", after))
+    adopt_settings(200, dispatcher, configuration.open_dispatcher("1", after))
     over = 80_100 - 3 * 200
     dispatcher.handle(over, AttemptEnded(id, 0, Outcome.TIMEOUT, False))
     assert [type(action) for action in pull(dispatcher, over)] == [Throttle]
