--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -15,8 +15,8 @@
     until,
 )
 from node_harness import SETTINGS
+from program_process import Program
 from socketless_node import REQUEST, SocketlessNode, call_back_message, receive
-from test_signals import Program
 
 # Seconds within which a change of the endpoint list counts as known to the node.
 KNOWN_AFTER = 6.0
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -2,18 +2,15 @@
 
 import asyncio
 import os
-import re
-import resource
 import signal
-import subprocess
 import sys
 import time
 
 import node_files
-import orjson
 import pytest
 from emulators import PATIENCE, BlockingClient, DiscoveryEmulator, ExecutorEmulator, until
 from node_harness import SETTINGS, NodeHarness
+from program_process import Program
 
 from grebedyke.service import node
 
@@ -22,53 +19,6 @@
 CROWD = 300
 
 
-class Program:
-    """The program as a process; a context manager that kills it at the end.
-
-    Attributes:
-        file: Its configuration file.
-        process: The process.
-    """
-
-    def __init__(self, folder, content, in_shell=False, max_descriptors=None, **environ):
-        self.file = folder / "config.json"
-        self.write(content)
-        command = [sys.executable, "-m", "grebedyke"]
-        if in_shell:
-            command = ["/bin/sh", "-c", deployed_command()]
-        limits = (max_descriptors, max_descriptors)
-        self.process = subprocess.Popen(
-            command,
-            stderr=subprocess.PIPE,
-            text=True,
-            preexec_fn=max_descriptors and (lambda: resource.setrlimit(resource.RLIMIT_NOFILE, limits)),
-            env={**os.environ, "BALANCER_CONFIG": str(self.file), **environ},
-        )
-
-    def write(self, content):
-        """Writes the configuration file."""
-        self.file.write_bytes(orjson.dumps(content))
-
-    async def exit_code(self):
-        """Waits for the program's end and returns its exit code."""
-        return await asyncio.to_thread(self.process.wait, PATIENCE)
-
-    def __enter__(self):
-        return self
-
-    def __exit__(self, *_):
-        self.process.kill()
-        self.process.wait()
-        self.process.stderr.close()
-
-
-def deployed_command():
-    """Returns the command by which operators start the program, with this interpreter."""
-    with open("deploy/balancer.toml") as file:
-        command = re.search(r'^run = "(.*)"$', file.read(), re.M)[1]
-    return command.replace(".venv/bin/python", sys.executable)
-
-
 def test_a_reload_signal_before_the_program_has_begun_does_not_end_it(tmp_path):
     """SIGHUP comes in the interpreter's own start.
 
