--- a/benchmarks/cold_judge.py
+++ b/benchmarks/cold_judge.py
@@ -82,7 +82,7 @@
             work: The call's work, in seconds.
             informed: Whether its node knew of the executor's start.
         """
-        if executor.worker.warmth(now / TICKS_PER_SECOND) >= 1:
+        if executor.model.capacity(now / TICKS_PER_SECOND) >= 1:
             return
         self.cold_calls += 1
         recent = executor.recent_calls
@@ -103,7 +103,7 @@
         recent = executor.recent_calls
         total = sum(call.calls for call in recent)
         informed = sum(call.calls for call in recent if call.informed) / total
-        warmth = executor.worker.warmth(now / TICKS_PER_SECOND)
+        warmth = executor.model.capacity(now / TICKS_PER_SECOND)
         mean_calls = settings.fall_multiple * warmth * executor.power * settings.fall_window
         allowed = mean_calls / TICKS_PER_SECOND / settings.mean_work
         bound = allowed + 2 * allowed**0.5 + 2
--- a/benchmarks/cold_round.py
+++ b/benchmarks/cold_round.py
@@ -9,6 +9,7 @@
 
 from benchmarks.cold_judge import ColdJudge
 from benchmarks.cold_settings import CLIENT_TIMEOUT, SCHEDULING_INTERVAL, DrawnSettings
+from grebedyke.emulators.executor_model import Admission, ExecutorModel, ExecutorSettings
 from grebedyke.model.actions import Forward, Probe, WakeAt
 from grebedyke.model.endpoint_list import EndpointRow
 from grebedyke.model.events import (
@@ -21,7 +22,6 @@
 )
 from grebedyke.model.outcome import Outcome
 from grebedyke.service.configuration import open_dispatcher
-from grebedyke.standin.model import Worker
 from grebedyke.units import TICKS_PER_SECOND
 
 TRANSIT_TIME = 10  # ticks on the way between a node and an executor
@@ -39,7 +39,7 @@
 
     Attributes:
         id: Its name.
-        worker: The emulator's Worker.
+        model: The emulator's ExecutorModel.
         started_at: When it started, in ticks; -inf: long ago.
         weight: Its weight in the list.
         is_up: Whether it runs.
@@ -49,13 +49,13 @@
         reported_jobs: Jobs there by the same report.
     """
 
-    def __init__(self, id, worker, started_at, weight):
+    def __init__(self, id, model, started_at, weight):
         self.id = id
-        self.worker = worker
+        self.model = model
         self.started_at = started_at
         self.weight = weight
         self.is_up = True
-        self.power = worker.slots * worker.speed
+        self.power = model.settings.slots * model.settings.speed
         self.recent_calls = deque()
         self.reported_free = 0
         self.reported_jobs = 0
@@ -282,25 +282,25 @@
         slots = self.random.choice((1, 2, 4, 8, 16)) if differ else settings.slots
         speed = self.random.uniform(0.7, 1.3) if differ else 1
         # What would fell it is only counted here: a fall would hide all that comes after.
-        worker = Worker(
-            slots,
-            speed,
+        executor_settings = ExecutorSettings(
+            slots=slots,
+            speed=speed,
             queue=4 * slots,
-            cold=settings.initial_warmth,
-            ramp=settings.ramp_time / TICKS_PER_SECOND,
-            multiple=inf,
-            window=0,
-            born=started_at / TICKS_PER_SECOND,
+            cold_capacity=settings.initial_warmth,
+            warm_up_time=settings.ramp_time / TICKS_PER_SECOND,
+            overload_multiple=inf,
+            idempotency_window=0,
         )
+        model = ExecutorModel(executor_settings, started_at / TICKS_PER_SECOND)
         weight = slots * speed * self.random.uniform(0.8, 1.25) if differ else 1
-        executor = SimulatedExecutor(f"s-{next(self.ids)}", worker, started_at, weight)
+        executor = SimulatedExecutor(f"s-{next(self.ids)}", model, started_at, weight)
         self.executors[executor.id] = executor
         return executor
 
     def _make_reports(self):
         """Makes the load reports; what they say is up to half a second old."""
         for executor in self.executors.values():
-            report = executor.worker.report()
+            report = executor.model.load_report()
             executor.reported_free = report["x0"]
             executor.reported_jobs = report["inflight"]
         self._after(REPORT_INTERVAL, self._make_reports)
@@ -314,28 +314,28 @@
         work = self.works[job.request_id]
         self.attempts += 1
         self.judge.on_call(self.now, executor, work, known_start >= executor.started_at)
-        answer = executor.worker.take(self.now / TICKS_PER_SECOND, job, "", "op", work)
-        if answer == "full":
+        admission = executor.model.submit(self.now / TICKS_PER_SECOND, job, "", "op", work)
+        if admission == Admission.REJECTED:
             self._after(TRANSIT_TIME, self._end_attempt, job, Outcome.REJECTED, False, 0)
-        elif answer == "began":
+        elif admission == Admission.STARTED:
             self._on_started(executor, job)
 
     def _on_started(self, executor, job):
         """A job began to run: plans its end."""
         if self.settings.tells_start:
             self._after(TRANSIT_TIME, self._report_start, job)
-        ends = next(running.ends for running in executor.worker.running if running.id == job)
+        ends = next(running.ends for running in executor.model.running if running.id == job)
         self._at(ends * TICKS_PER_SECOND + 1, self._finish_jobs, executor, executor.started_at)
 
     def _finish_jobs(self, executor, started_at):
         """Ends the jobs that are done and starts those that waited for their slots."""
         if not executor.is_up or executor.started_at != started_at:
             return
-        free = executor.worker.report()["x0"]
-        for done in executor.worker.finished(self.now / TICKS_PER_SECOND):
+        free = executor.model.load_report()["x0"]
+        for done in executor.model.take_finished(self.now / TICKS_PER_SECOND):
             self.finished += 1
             self._after(TRANSIT_TIME, self._end_attempt, done.id, Outcome.SUCCEEDED, True, free)
-        for begun in executor.worker.started(self.now / TICKS_PER_SECOND):
+        for begun in executor.model.start_waiting(self.now / TICKS_PER_SECOND):
             self._on_started(executor, begun.id)
 
     def _replace_executors(self, number, back_at):
@@ -343,7 +343,7 @@
         running = [executor for executor in self.executors.values() if executor.is_up]
         for executor in self.random.sample(running, number):
             executor.is_up = False
-            for held in (*executor.worker.running, *executor.worker.waiting):
+            for held in (*executor.model.running, *executor.model.waiting):
                 self._after(TRANSIT_TIME, self._end_attempt, held.id, Outcome.CONNECTION_RESET, False)
             self._tell_nodes(executor, "gone")
             self._at(max(back_at + self._seconds(0, 0.3), self.now + 1), self._bring_back, executor)
@@ -354,7 +354,7 @@
             del self.executors[executor.id]
             executor = self._add_executor(self.now)
         else:
-            executor.worker.restart(self.now / TICKS_PER_SECOND)
+            executor.model.restart(self.now / TICKS_PER_SECOND)
             executor.is_up = True
             executor.started_at = self.now
             executor.recent_calls.clear()
--- a/benchmarks/cold_settings.py
+++ b/benchmarks/cold_settings.py
@@ -1,6 +1,6 @@
 """The settings, executors and traffic that a round of `benchmarks.cold` draws."""
 
-from grebedyke.service.configuration import terms
+from grebedyke.service.configuration import check_settings
 from grebedyke.units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
 SCHEDULING_INTERVAL = 50  # ticks between two passes of a node
@@ -52,7 +52,7 @@
 
     def node_settings(self, node):
         """Returns the checked settings of one node, as its configuration file would have them."""
-        return terms(
+        return check_settings(
             {
                 "balancers": self.node_count,
                 "me": node,
--- a/benchmarks/roles.py
+++ b/benchmarks/roles.py
@@ -19,8 +19,9 @@
 
 from grebedyke.consensus import framing
 from grebedyke.consensus.consensus import Consensus
-from grebedyke.load import fleet as plain
-from grebedyke.load import shape
+from grebedyke.emulators.discovery import DiscoveryEmulator
+from grebedyke.load.arrivals import Operation
+from grebedyke.load.deployment import deployment_settings
 from grebedyke.maintenance.component import Maintenance
 from grebedyke.model.actions import Forward, Probe, WakeAt
 from grebedyke.model.endpoint_list import EndpointRow
@@ -37,9 +38,8 @@
 from grebedyke.rate_limits.definitions import Limit, LimitKind, wire_id_of
 from grebedyke.rate_limits.lease_terms import LeaseTerms
 from grebedyke.service.batch_loop import BatchLoop
-from grebedyke.service.configuration import open_dispatcher, terms
+from grebedyke.service.configuration import check_settings, open_dispatcher
 from grebedyke.service.metrics import Metrics
-from grebedyke.standin.discovery import Discovery
 from grebedyke.testbed.simulated_cluster import SimulatedCluster
 from grebedyke.testbed.simulated_limits import LimitedRequest
 from grebedyke.testbed.simulated_settings import maintenance_settings
@@ -411,8 +411,8 @@
 
 
 def settings(nodes=760, me=5, operations=2, tenants=34, probes=True):
-    ops = [shape.Operation(f"op{i}", ("keyed", "unsafe", "safe")[i % 3]) for i in range(operations)]
-    conf = plain.settings(ops, nodes, me, "a", "abcde")
+    ops = [Operation(f"op{i}", ("keyed", "unsafe", "safe")[i % 3]) for i in range(operations)]
+    conf = deployment_settings(ops, nodes, me, "a", "abcde")
     for told in conf["operations"]:
         # Urgent work starts within 7 s, and a task runs for minutes.
         told |= {"latencyObjectiveMs": 7_000, "clientTimeoutMs": 600_000}
@@ -423,10 +423,10 @@
 
 def listing(executors, discovery=None):
     """As discovery gives it."""
-    discovery = discovery or Discovery()
+    discovery = discovery or DiscoveryEmulator()
     for i in range(executors):
         address = f"10.0.{i // 250}.{i % 250}", 9_000
-        discovery.put(discovery.row(f"worker-{i:04}", address, "abcde"[i % 5], "full"))
+        discovery.add(f"worker-{i:04}", address, "abcde"[i % 5], "full")
     return orjson.dumps(discovery.listing())
 
 
@@ -439,7 +439,7 @@
     """A Dispatcher with as much of a host round it as sees to it that work starts and ends."""
 
     def __init__(self, executors, operations=2, tenants=34, nodes=760, probes=True):
-        conf = terms(settings(nodes, operations=operations, tenants=tenants, probes=probes))
+        conf = check_settings(settings(nodes, operations=operations, tenants=tenants, probes=probes))
         self.d, self.now, self.events, self.count, self.took = (
             open_dispatcher("b", conf),
             TICKS_PER_SECOND,
--- a/grebedyke/benchlink/adapter.py
+++ b/grebedyke/benchlink/adapter.py
@@ -12,7 +12,7 @@
 from grebedyke.benchlink.event_reader import read_event
 from grebedyke.errors import ConfigurationError, MalformedBatchError
 from grebedyke.model.events import EndpointListUnavailable
-from grebedyke.service.configuration import open_dispatcher, terms
+from grebedyke.service.configuration import check_settings, open_dispatcher
 from grebedyke.units import ticks
 
 MALFORMED_BATCH_EXIT_CODE = 2
@@ -58,7 +58,7 @@
 
     def _handle(self, now, node, name, fields):
         if name == "boot":
-            settings = terms(fields.get("conf") or {})
+            settings = check_settings(fields.get("conf") or {})
             self.dispatchers[node] = open_dispatcher(fields.get("prng", 0), settings)
             self.report_fields[node] = settings["telemetry"]["fields"]
             self.dispatchers[node].handle(now, EndpointListUnavailable())
--- a/grebedyke/service/configuration/dispatcher_settings.py
+++ b/grebedyke/service/configuration/dispatcher_settings.py
@@ -1,6 +1,7 @@
 """Builds a dispatcher out of checked settings; each rule gets its own few of them."""
 
 from grebedyke.model.operation import Operation
+from grebedyke.model.outcome import Effect
 from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.model.settings import Capabilities, DispatcherSettings, PolicyParts, RequestLimits
 from grebedyke.policy.cutoff_search import CutoffSearch
@@ -9,9 +10,10 @@
 from grebedyke.policy.retry_budget import RetryBudget
 from grebedyke.policy.slow_start import SlowStartSettings
 from grebedyke.policy.tenant_quotas import TenantQuotas
-from grebedyke.service.configuration.terms import EFFECTS
 from grebedyke.units import ticks
 
+EFFECTS = {"safe": Effect.IDEMPOTENT, "keyed": Effect.KEYED, "unsafe": Effect.NON_IDEMPOTENT}
+
 # Work counts as started at once if it waits no longer than this part of the shortest latency objective.
 PROMPT_WAIT_DIVISOR = 10
 MIN_PROMPT_WAIT = 10  # ticks
@@ -21,7 +23,7 @@
 
 
 def open_dispatcher(seed, settings):
-    """Returns a Dispatcher by settings that `terms` has checked; same seed, same draws."""
+    """Returns a Dispatcher by settings that `check_settings` has checked; same seed, same draws."""
     node_count = int(settings["balancers"])
     random = SeededRandom(seed)
     operations = _operations(settings)
--- a/grebedyke/testbed/fleet_layout.py
+++ b/grebedyke/testbed/fleet_layout.py
@@ -4,12 +4,12 @@
 import random
 from collections import Counter
 
-from grebedyke.load import fleet as plain
-from grebedyke.load import shape
-from grebedyke.testbed.process_cluster import DRAIN_GRACE, IDEMPOTENCY_WINDOW, WARM_UP_TIME
+from grebedyke.load.arrivals import Operation
+from grebedyke.load.deployment import deployment_settings
+from grebedyke.testbed.process_cluster_settings import DRAIN_GRACE, IDEMPOTENCY_WINDOW, WARM_UP_TIME
 from grebedyke.testbed.scale_settings import CLOCK_DRIFT, TEAM_COUNT, ZONES, team
 
-OPERATION = shape.Operation("task", "safe")
+OPERATION = Operation("task", "safe")
 # From this size on a fleet has five voters.
 LARGE_FLEET = 7
 # Two of each so many limits let half of what is wanted through.
@@ -110,7 +110,7 @@
             discovery: The discovery of the run.
         """
         settings = self.settings
-        deployment = plain.settings([OPERATION], settings.nodes, node, self.zones[node], ZONES)
+        deployment = deployment_settings([OPERATION], settings.nodes, node, self.zones[node], ZONES)
         deployment["parties"] = [{"name": team(index), "quotaRps": 1000} for index in range(TEAM_COUNT)]
         deployment["rules"] |= {"drainGraceMs": DRAIN_GRACE * 1000, "rampTimeMs": WARM_UP_TIME * 1000}
         deployment["operations"][0]["windowMs"] = IDEMPOTENCY_WINDOW * 1000
--- a/grebedyke/testbed/process_cluster.py
+++ b/grebedyke/testbed/process_cluster.py
@@ -8,28 +8,27 @@
 import sys
 import time
 from collections import Counter
-from collections.abc import Sequence
-from dataclasses import dataclass
-from enum import StrEnum
 from pathlib import Path
 
-from grebedyke.load import fleet as plain
-from grebedyke.standin import talk
+from grebedyke.emulators import http_messages
+from grebedyke.load.deployment import deployment_settings
+from grebedyke.load.fleet import START_TIMEOUT, FleetShape, LocalFleet, free_port
 from grebedyke.testbed.launcher import SETTINGS_VARIABLE
 from grebedyke.testbed.network_relay import NetworkRelay
+from grebedyke.testbed.process_cluster_settings import (
+    CLOCK_DRIFT,
+    DRAIN_GRACE,
+    IDEMPOTENCY_WINDOW,
+    LEASE,
+    ROUND_TIMEOUT,
+    WARM_UP_TIME,
+    FolderState,
+)
 from grebedyke.testbed.tcp_proxy import TcpProxy
 
 LAUNCHER_MODULE = "grebedyke.testbed.launcher"
 # The launcher's name in version 0.1, see `launcher_module`.
 LAUNCHER_MODULE_OF_0_1 = "grebedyke.rig.launch"
-# Short, so that trials are; in seconds.
-LEASE = 1.0
-ROUND_TIMEOUT = 0.1
-DRAIN_GRACE = 0.5
-WARM_UP_TIME = 1.0
-IDEMPOTENCY_WINDOW = 0.5
-# By how much the rates of any two clocks may differ, as a fraction.
-CLOCK_DRIFT = 0.02
 # By how many seconds a node's wall clock may be off; one is drawn at each start.
 WALL_CLOCK_ERRORS = (0, 0, 3600, -86400)
 # Of the starts in a trial beside an older version, so many run that one.
@@ -42,52 +41,7 @@
 MILLISECONDS_PER_SECOND = 1000
 
 
-class FolderState(StrEnum):
-    """What a node finds in its folder when it starts again.
-
-    Attributes:
-        SAME: What it left there.
-        OLDER: An older copy.
-        EMPTY: Nothing.
-        CORRUPT: A record that is none.
-    """
-
-    SAME = "same"
-    OLDER = "older"
-    EMPTY = "empty"
-    CORRUPT = "spoilt"
-
-
-@dataclass(frozen=True, slots=True, kw_only=True)
-class ProcessClusterSettings:
-    """What a cluster of processes is.
-
-    Attributes:
-        operations: The operations that clients request.
-        nodes: How many nodes there are.
-        executors: How many executors there are.
-        voters: How many nodes vote: the first ones.
-        seed: Of the clocks, the relay's faults and the nodes' own draws.
-        peer_messages: Whether nodes grant each other slots at executors.
-        maintenance: Whether they have a maintenance component.
-        older_tree: The source tree of another version; each start draws which of the two runs.
-        zones: The zones of nodes and executors.
-        limits: The limits of the whole fleet, as rows of a configuration; None for none.
-    """
-
-    operations: Sequence
-    nodes: int = 5
-    executors: int = 6
-    voters: int = 3
-    seed: int = 0
-    peer_messages: bool = False
-    maintenance: bool = True
-    older_tree: str | None = None
-    zones: Sequence[str] = plain.ZONES
-    limits: Sequence[dict] | None = None
-
-
-class ProcessCluster(plain.Fleet):
+class ProcessCluster(LocalFleet):
     """A fleet whose nodes know each other by the sockets of a relay.
 
     Attributes:
@@ -105,13 +59,8 @@
     """
 
     def __init__(self, settings):
-        super().__init__(
-            settings.operations,
-            settings.nodes,
-            settings.executors,
-            seed=settings.seed,
-            zones=settings.zones,
-        )
+        shape = FleetShape(nodes=settings.nodes, executors=settings.executors, zones=settings.zones)
+        super().__init__(settings.operations, shape, seed=settings.seed)
         self.settings = settings
         self.limits = settings.limits
         self.voters = list(range(min(settings.voters, settings.nodes)))
@@ -153,7 +102,7 @@
         number = self.number(name)
         for addresses in (self.admin_addresses, self.peer_addresses):
             if not addresses.get(name):
-                addresses[name] = (self.host, plain.free_port(self.host))
+                addresses[name] = (self.host, free_port(self.host))
         peers = self.relay.peer_addresses(number, self.peer_addresses[name])
         node_configuration = {
             "name": name,
@@ -180,8 +129,8 @@
 
     def _deployment(self, number):
         """Returns the deployment's settings, as a node's file has them."""
-        zone = self.zones[number % len(self.zones)]
-        deployment = plain.settings(self.operations, len(self.nodes), number, zone, self.zones)
+        zone = self.shape.zones[number % len(self.shape.zones)]
+        deployment = deployment_settings(self.operations, len(self.nodes), number, zone, self.shape.zones)
         deployment["limits"]["peerMessages"] = self.settings.peer_messages
         deployment["rules"] |= {
             "drainGraceMs": DRAIN_GRACE * MILLISECONDS_PER_SECOND,
@@ -222,7 +171,7 @@
         self.processes[name] = process
         self.start_counts[name] += 1
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + plain.STARTS
+        deadline = loop.time() + START_TIMEOUT
         while not await self._is_serving(name):
             if process.returncode is not None or loop.time() > deadline:
                 self._forget_first_ports(name)
@@ -246,8 +195,8 @@
             )
 
     async def _is_serving(self, name):
-        status, _ = await talk.call(self.nodes[name], "GET /up HTTP/1.1", wait=START_POLL_TIMEOUT)
-        return status == 200
+        response = await http_messages.call(self.nodes[name], "GET", "/up", timeout=START_POLL_TIMEOUT)
+        return response.status == 200
 
     def _forget_first_ports(self, name):
         """Has the ports of a node that has never served drawn anew.
@@ -361,7 +310,7 @@
         """Makes an operator's call; returns (status, text), (0, "") where nobody answered in time."""
         data = json.dumps(body).encode() if body is not None else b""
         address = self.admin_addresses[name]
-        status, answer = await talk.call(address, f"{method} {path} HTTP/1.1", data, timeout)
+        status, answer = await http_messages.call(address, method, path, data, timeout)
         return status, answer.decode(errors="replace").strip()
 
     async def status(self, name):
--- a/grebedyke/testbed/scale_run.py
+++ b/grebedyke/testbed/scale_run.py
@@ -12,10 +12,10 @@
 import time
 from pathlib import Path
 
-from grebedyke.standin.discovery import Discovery
-from grebedyke.standin.executor import Executor
-from grebedyke.standin.faults import Script
-from grebedyke.standin.model import Worker
+from grebedyke.emulators.discovery import DiscoveryEmulator
+from grebedyke.emulators.executor import ExecutorEmulator
+from grebedyke.emulators.executor_model import ExecutorModel, ExecutorSettings
+from grebedyke.emulators.faults import FaultScript
 from grebedyke.testbed.child_process import ChildProcess
 from grebedyke.testbed.demand_generator import tenant_limits
 from grebedyke.testbed.fleet_layout import OPERATION, FleetLayout
@@ -115,13 +115,14 @@
         await self._start_children(first)
 
     async def _open_executors(self):
-        self._discovery = await Discovery().listen()
+        self._discovery = await DiscoveryEmulator().listen()
         for index in range(self.settings.executors):
             name = f"s-{index}"
-            executor = await Executor(name, {}, Worker(4, 1.0), Script([], index)).listen()
+            model = ExecutorModel(ExecutorSettings(slots=4, speed=1.0))
+            executor = await ExecutorEmulator(name, {}, model, FaultScript([], index)).listen()
             self._executors.append(executor)
             zone = ZONES[index % len(ZONES)]
-            self._discovery.put(self._discovery.row(name, executor.address, zone, "full"))
+            self._discovery.add(name, executor.address, zone, "full")
 
     def _add_child(self, nodes, is_real):
         folder = Path(self._folder, f"p{len(self.children)}")
--- a/grebedyke/testbed/tcp_proxy.py
+++ b/grebedyke/testbed/tcp_proxy.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from enum import StrEnum
 
-from grebedyke.standin import talk
+from grebedyke.emulators import http_messages
 
 # Bytes that are read at once.
 READ_SIZE = 65_536
@@ -27,7 +27,7 @@
     SLOW = "slow"
 
 
-class TcpProxy(talk.Server):
+class TcpProxy(http_messages.LoopbackServer):
     """Passes bytes on to an address and back. Open connections feel a change at once.
 
     Attributes:
--- a/grebedyke/testbed/trial.py
+++ b/grebedyke/testbed/trial.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from grebedyke.load import shape
-from grebedyke.load.clients import Clients
-from grebedyke.testbed.process_cluster import (
+from grebedyke.load.arrivals import LoadShape, Operation, draw_arrivals
+from grebedyke.load.clients import OpenLoopClients
+from grebedyke.testbed.process_cluster import ProcessCluster
+from grebedyke.testbed.process_cluster_settings import (
     DRAIN_GRACE,
     WARM_UP_TIME,
-    ProcessCluster,
     ProcessClusterSettings,
 )
 from grebedyke.testbed.trial_checker import TrialChecker
@@ -22,9 +22,9 @@
 from grebedyke.testbed.violations import Violation
 
 OPERATIONS = (
-    shape.Operation("hold", "keyed", share=0.4),
-    shape.Operation("confirm", "unsafe", share=0.3),
-    shape.Operation("view", "safe", share=0.3),
+    Operation("hold", "keyed", share=0.4),
+    Operation("confirm", "unsafe", share=0.3),
+    Operation("view", "safe", share=0.3),
 )
 # Seconds from the end of the last fault: by then the plan has ended, at any machine's pace.
 SETTLING_TIMEOUT = 60.0
@@ -151,12 +151,10 @@
         cluster = self.cluster
         await cluster.start()
         await self._until(all_are_sure, "sure at the start")
-        clients = Clients(cluster.nodes, seed=self.seed)
+        clients = OpenLoopClients(cluster.nodes, seed=self.seed)
         load_seconds = self.settings.seconds + LOAD_AFTER_FAULTS
-        arrivals = shape.arrivals(
-            self.seed, "poisson", REQUEST_RATE, load_seconds, "exponential", MEAN_WORK, OPERATIONS
-        )
-        load = asyncio.ensure_future(clients.play(arrivals))
+        shape = LoadShape(operations=OPERATIONS, rate=REQUEST_RATE, seconds=load_seconds, mean_work=MEAN_WORK)
+        load = asyncio.ensure_future(clients.play(draw_arrivals(self.seed, shape)))
         faults = asyncio.ensure_future(self._inject_faults())
         self._tasks += [asyncio.ensure_future(self._operate()), faults]
         if self.settings.script:
@@ -167,7 +165,7 @@
         await self._end_faults()
         await load
         await self._until(all_have_no_plan, "plans end")
-        cluster.fill(clients.ledger)
+        cluster.report_to(clients.ledger)
         self._check(clients.ledger)
 
     def _check(self, ledger):
@@ -311,7 +309,7 @@
         start = asyncio.get_running_loop().time()
         self.checker.event_counts["worked at"] += 1
         await asyncio.sleep(0.3 + self.random.random())
-        for request_id, arrived_at in executor.forwards:
+        for request_id, arrived_at in executor.arrivals:
             if arrived_at > start:
                 self.checker.event_counts["reached in work"] += 1
                 if not self.settings.script:
--- a/grebedyke/testbed/trial_checker.py
+++ b/grebedyke/testbed/trial_checker.py
@@ -89,7 +89,7 @@
             ledger: The ledger of clients and executors.
             is_limited: Whether the fleet had limits.
         """
-        for violation in ledger.judge():
+        for violation in ledger.violations():
             entry = ledger.entries[violation.id]
             node = violation.id.partition("-")[0]
             if violation.rule == 1:
@@ -127,7 +127,7 @@
         since = [round(sent - start, 3) for start, _ in self.graceful_shutdowns[node]]
         self.report(
             f"rule {violation.rule}",
-            f"{violation.id}: {violation.what}; its client's end came {ended} s after it was sent, "
+            f"{violation.id}: {violation.description}; its client's end came {ended} s after it was sent, "
             f"{since} s after its node was told to end",
         )
 
@@ -145,15 +145,15 @@
         """
         for limit in limits:
             arrivals = sorted(
-                (min(time for time, _ in ledger.forwards[request_id]), request_id)
+                (min(time for time, _ in ledger.arrivals[request_id]), request_id)
                 for request_id, entry in ledger.entries.items()
-                if limit.get("operation") in (None, entry.operation.name) and ledger.forwards[request_id]
+                if limit.get("operation") in (None, entry.operation.name) and ledger.arrivals[request_id]
             )
             self.event_counts[f"limit {limit['name']}"] += len(arrivals)
             if "rate" in limit:
                 is_kept = self._check_rate(limit, arrivals, longest_queue_time)
             else:
-                is_kept = self._check_concurrency(limit, arrivals, ledger.runs)
+                is_kept = self._check_concurrency(limit, arrivals, ledger.effects)
             if not is_kept:
                 return
 
--- a/tests/node_files.py
+++ b/tests/node_files.py
@@ -3,9 +3,9 @@
 import orjson
 from emulators import free_port
 
-from grebedyke.checks import checked
 from grebedyke.service import configuration
-from grebedyke.service.configuration.reading import NODE
+from grebedyke.service.configuration.node_schema import NODE_SCHEMA
+from grebedyke.validation import validate
 
 SETTINGS = {
     "balancers": 1,
@@ -70,8 +70,8 @@
 
 def checked_configuration(content):
     """Returns what a node reads out of a file with this content."""
-    node_configuration = checked(NODE, content)
-    node_configuration["settings"] = configuration.terms(node_configuration["settings"])
+    node_configuration = validate(NODE_SCHEMA, content)
+    node_configuration["settings"] = configuration.check_settings(node_configuration["settings"])
     return node_configuration
 
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -241,13 +241,13 @@
 
 
 def test_complete_settings_are_taken():
-    assert configuration.terms(settings_with(COMPLETE))["rules"]["lookBackMs"] == 5000
+    assert configuration.check_settings(settings_with(COMPLETE))["rules"]["lookBackMs"] == 5000
 
 
 @pytest.mark.parametrize(("rules", "key", "problem"), FAULTY_RULES)
 def test_its_settings_are_refused_by_their_key(rules, key, problem):
     with pytest.raises(configuration.ConfigurationError) as refusal:
-        configuration.terms(settings_with(rules), "settings.")
+        configuration.check_settings(settings_with(rules), "settings.")
     assert f"settings.rules.{key} " in str(refusal.value) and problem in str(refusal.value)
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -33,7 +33,6 @@
 import helpers
 
 from grebedyke import errors
-from grebedyke.checks import checked
 from grebedyke.consensus import framing, member_record, records
 from grebedyke.consensus.actions import SendMessage
 from grebedyke.consensus.consensus import Consensus
@@ -51,10 +50,11 @@
 from grebedyke.model.seeded_random import SeededRandom
 from grebedyke.service import configuration
 from grebedyke.service.assembly import assemble
-from grebedyke.service.configuration.reading import NODE
+from grebedyke.service.configuration.node_schema import NODE_SCHEMA
 from grebedyke.service.process_channel import ProcessChannel
 from grebedyke.testbed import simulated_cluster, simulated_limits, simulated_settings
 from grebedyke.units import TICKS_PER_SECOND
+from grebedyke.validation import validate
 from grebedyke.wire import peer_codec
 from grebedyke.wire.endpoint_rows import parse_endpoint_rows
 from grebedyke.wire.request_headers import JobUpdate
@@ -234,8 +234,8 @@
     NOW = 10**12  # far after the event loop's own time: no timer rings
 
     def __init__(self, loop, folder, known):
-        said = checked(NODE, {**NODE_FILE, "folder": str(folder), "known": known})
-        said["settings"] = configuration.terms(said["settings"])
+        said = validate(NODE_SCHEMA, {**NODE_FILE, "folder": str(folder), "known": known})
+        said["settings"] = configuration.check_settings(said["settings"])
         self.loop, self.node = loop, assemble(loop, said, lambda: said, clock=lambda: self.NOW)
         self.node.parts.batch.pass_times.extend([self.NOW] * 3)
         self.node.parts.host.endpoint_updates.unix_time_offset = self.NOW - 50_000
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,12 +8,11 @@
 from click.testing import CliRunner
 from helpers import dispatcher, pull, rows
 
-from grebedyke.checks import checked
 from grebedyke.commands.main import cli
 from grebedyke.consensus.actions import SendMessage
 from grebedyke.errors import ConfigurationError
-from grebedyke.load import shape
-from grebedyke.load.clients import Clients
+from grebedyke.load.arrivals import LoadShape, draw_arrivals
+from grebedyke.load.clients import OpenLoopClients
 from grebedyke.model.actions import Forward, Throttle
 from grebedyke.model.outcome import Effect, Outcome
 from grebedyke.rate_limits import messages, settings
@@ -26,8 +25,10 @@
 from grebedyke.rate_limits.request_limiter import RequestLimiter
 from grebedyke.rate_limits.token_bucket import TokenBucket
 from grebedyke.testbed import broken_builds, simulated_limits, trial
-from grebedyke.testbed.process_cluster import ProcessCluster, ProcessClusterSettings
+from grebedyke.testbed.process_cluster import ProcessCluster
+from grebedyke.testbed.process_cluster_settings import ProcessClusterSettings
 from grebedyke.testbed.trial_checker import TrialChecker
+from grebedyke.validation import validate
 
 # Ten requests a second, a burst of ten.
 LIMIT = Limit("l", LimitKind.RATE, size=10_000, burst=10)
@@ -315,7 +316,7 @@
 def test_faulty_limits_are_refused_by_key(limits, message):
     """What would not work, or not as it was meant, is refused by one line that names its key."""
     with pytest.raises(ConfigurationError) as problem:
-        section = checked(settings.SECTION, {"limits": limits}, "shares.")
+        section = validate(settings.SECTION, {"limits": limits}, "shares.")
         settings.check(section, FLEET, 3, ["hold"], ["t"], 200)
     assert message in str(problem.value)
 
@@ -346,7 +347,8 @@
     Returns:
         The next holder with its term, and each node's row of the first limit.
     """
-    plan = shape.arrivals(77, "poisson", 85, 14, "exponential", 0.03, trial.OPERATIONS)
+    shape = LoadShape(operations=trial.OPERATIONS, rate=85, seconds=14, mean_work=0.03)
+    plan = draw_arrivals(77, shape)
     load = asyncio.ensure_future(clients.play(plan))
     await asyncio.sleep(3)
     await cluster.end(first_holder)
@@ -382,9 +384,9 @@
         try:
             await cluster.start()
             first = await lease_holder(cluster)
-            clients = Clients(cluster.nodes, seed=77, retries=0)
+            clients = OpenLoopClients(cluster.nodes, seed=77, retries=0)
             second, shares = await lose_holder_and_halve(cluster, first[0], limits, clients)
-            cluster.fill(clients.ledger)
+            cluster.report_to(clients.ledger)
             checker = TrialChecker()
             checker.check_limits(clients.ledger, limits, trial.LONGEST_QUEUE_TIME)
             return first, second, shares, clients.ledger.counts(), checker
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The stand-ins, the ledger and the load tool, and nodes that are broken on purpose."""
+"""The emulators, the ledger and the load tool, and nodes that are broken on purpose."""
 
 import asyncio
 import json
@@ -9,74 +9,91 @@
 from click.testing import CliRunner
 
 from grebedyke.commands.main import cli
-from grebedyke.load import shape
-from grebedyke.load.clients import Clients
-from grebedyke.load.fleet import Fleet
-from grebedyke.load.ledger import Ledger
-from grebedyke.standin import talk
-from grebedyke.standin.discovery import Discovery
-from grebedyke.standin.executor import Executor
-from grebedyke.standin.faults import KINDS, Script, fault
-from grebedyke.standin.model import Worker
-
-PAY = shape.Operation("pay", "unsafe", 1.0)
-HOLD = shape.Operation("hold", "keyed", 1.0)
-VIEW = shape.Operation("view", "safe", 1.0)
-
-
-def test_a_cold_worker_falls_under_more_than_its_multiple_and_a_warm_one_does_not():
-    for born, pace, falls in ((0, 0.05, True), (0, 0.5, False), (-99, 0.05, False)):
-        worker = Worker(slots=2, queue=999, cold=0.25, ramp=8, multiple=2, tip=1, born=born)
-        told = [worker.take(i * pace, f"j{i}", "", "op", 0.2) for i in range(40)]
-        assert ("fell" in told) == falls == worker.fallen, (born, pace)
-
-
-def test_a_worker_drops_repeats_within_its_window_and_forgets_at_a_restart():
-    worker = Worker(slots=9, window=2, born=-99)
-    for at, key, effects in ((0, "k", 1), (1, "k", 1), (1, "", 2), (1, "", 3), (2.5, "k", 4), (3, "k", 4)):
-        worker.take(at, f"j{at}", key, "op", 0.01)
-        assert len(worker.runs) == effects, (at, key)
-    worker.restart(3.1)
-    assert worker.warmth(3.1) == 0.3 and worker.report()["inflight"] == 0
-    worker.take(3.2, "again", "k", "op", 0.01)
-    assert len(worker.runs) == 5
-
-
-def test_a_waiting_job_that_is_given_up_never_runs():
-    worker = Worker(slots=1, born=-99)
-    worker.take(0, "a", "", "op", 1)
-    worker.take(0, "b", "", "op", 1)
-    assert not worker.drop("a") and worker.drop("b") and not worker.drop("b")
-    assert [job.id for job in worker.finished(1)] == ["a"] and not worker.started(1)
-
-
-class News(talk.Server):
-    """In a node's place: keeps what executors tell."""
+from grebedyke.emulators import http_messages
+from grebedyke.emulators.discovery import DiscoveryEmulator
+from grebedyke.emulators.executor import ExecutorEmulator
+from grebedyke.emulators.executor_model import Admission, ExecutorModel, ExecutorSettings
+from grebedyke.emulators.faults import FaultKind, FaultScript, parse_fault
+from grebedyke.load.arrivals import ArrivalPattern, LoadShape, Operation, SizeLaw, draw_arrivals
+from grebedyke.load.clients import OpenLoopClients
+from grebedyke.load.fleet import FleetShape, LocalFleet
+from grebedyke.load.ledger import Answer, Ledger
+
+PAY = Operation("pay", "unsafe", 1.0)
+HOLD = Operation("hold", "keyed", 1.0)
+VIEW = Operation("view", "safe", 1.0)
+
+
+def test_a_cold_executor_dies_of_more_than_its_multiple_and_a_warm_one_does_not():
+    for started_at, pace, dies in ((0, 0.05, True), (0, 0.5, False), (-99, 0.05, False)):
+        settings = ExecutorSettings(
+            slots=2,
+            queue=999,
+            cold_capacity=0.25,
+            warm_up_time=8,
+            overload_multiple=2,
+            overload_window=1,
+        )
+        executor = ExecutorModel(settings, started_at)
+        admissions = [executor.submit(i * pace, f"j{i}", "", "op", 0.2) for i in range(40)]
+        assert (Admission.OVERLOADED in admissions) == dies == executor.is_overloaded, (started_at, pace)
+
+
+def test_an_executor_drops_repeats_within_its_window_and_forgets_at_a_restart():
+    executor = ExecutorModel(ExecutorSettings(slots=9, idempotency_window=2), started_at=-99)
+    for time, key, effects in ((0, "k", 1), (1, "k", 1), (1, "", 2), (1, "", 3), (2.5, "k", 4), (3, "k", 4)):
+        executor.submit(time, f"j{time}", key, "op", 0.01)
+        assert len(executor.effects) == effects, (time, key)
+    executor.restart(3.1)
+    assert executor.capacity(3.1) == 0.3 and executor.load_report()["inflight"] == 0
+    executor.submit(3.2, "again", "k", "op", 0.01)
+    assert len(executor.effects) == 5
+
+
+def test_a_waiting_job_that_is_cancelled_never_runs():
+    executor = ExecutorModel(ExecutorSettings(slots=1), started_at=-99)
+    executor.submit(0, "a", "", "op", 1)
+    executor.submit(0, "b", "", "op", 1)
+    assert not executor.cancel("a") and executor.cancel("b") and not executor.cancel("b")
+    assert [job.id for job in executor.take_finished(1)] == ["a"] and not executor.start_waiting(1)
+
+
+class NoticeReceiver(http_messages.LoopbackServer):
+    """In a node's place: collects the notices that executors send."""
+
+    def __init__(self):
+        super().__init__()
+        self.notices = []
 
     async def serve(self, reader, writer):
-        while asked := await talk.read(reader):
-            self.heard = [*getattr(self, "heard", ()), json.loads(asked[2])]
-            writer.write(talk.message("HTTP/1.1 204 No Content"))
+        while request := await http_messages.read_message(reader):
+            self.notices.append(json.loads(request.body))
+            writer.write(http_messages.format_message("HTTP/1.1 204 No Content"))
 
 
 async def one_job(kind):
-    """(status of the forward, states that were told, effects) under one fault."""
-    node = await News().listen()
-    script = Script([fault(kind)] if kind else [])
-    worker = await Executor("s-1", {"n": node.address}, Worker(born=-99), script).listen()
-    body = b'{"work_ms": 20}'
-    status, _ = await talk.call(
-        worker.address, "POST /op/k HTTP/1.1", body, 3 if kind == "late" else 0.4, X_Request_ID="n-1"
+    """Returns the status of an attempt, the states in notices, and the number of effects, under one fault."""
+    node = await NoticeReceiver().listen()
+    script = FaultScript([parse_fault(kind)] if kind else [])
+    model = ExecutorModel(started_at=-99)
+    executor = await ExecutorEmulator("s-1", {"n": node.address}, model, script).listen()
+    status, _ = await http_messages.call(
+        executor.address,
+        "POST",
+        "/op/k",
+        b'{"work_ms": 20}',
+        timeout=3 if kind == "late" else 0.4,
+        headers={"X-Request-ID": "n-1"},
     )
     await asyncio.sleep(0.15)
-    heard = [news["state"] for news in getattr(node, "heard", ())]
-    await worker.close()
+    states = [notice["state"] for notice in node.notices]
+    await executor.close()
     await node.close()
-    return status, heard, len(worker.worker.runs)
+    return status, states, len(model.effects)
 
 
 def test_each_fault_goes_wrong_in_its_way():
-    for kind, status, heard, effects in (
+    for kind, status, states, effects in (
         ("", 202, ["started", "done"], 1),
         ("refuse", 0, [], 0),
         ("hang", 0, [], 0),
@@ -92,9 +109,9 @@
         ("odd", 0, ["started", "done"], 1),
         ("hang@9", 202, ["started", "done"], 1),
     ):
-        got = asyncio.run(one_job(kind))
-        assert (got[0], sorted(got[1]), got[2]) == (status, sorted(heard), effects), (kind, got)
-        assert kind.partition("@")[0] in ("", *KINDS)
+        result = asyncio.run(one_job(kind))
+        assert (result[0], sorted(result[1]), result[2]) == (status, sorted(states), effects), (kind, result)
+        assert kind.partition("@")[0] in ("", *FaultKind)
 
 
 def test_a_fault_that_is_misspelt_is_one_plain_line():
@@ -107,90 +124,102 @@
         ("reset%200", "range"),
     ):
         with pytest.raises(ValueError, match=word):
-            fault(text)
+            parse_fault(text)
 
 
-def test_discovery_tells_changes_once_and_whole_lists_where_it_must():
+def test_discovery_sends_changes_once_and_full_lists_where_it_must():
     async def story():
-        d = await Discovery().listen()
-        d.put(d.row("s-1", ("127.0.0.1", 9)))
+        discovery = await DiscoveryEmulator().listen()
+        discovery.add("s-1", ("127.0.0.1", 9))
 
         async def ask(query):
-            return json.loads((await talk.call(d.address, f"GET /discovery/hosts{query} HTTP/1.1"))[1])
+            response = await http_messages.call(discovery.address, "GET", f"/discovery/hosts{query}")
+            return json.loads(response.body)
 
         assert (await ask("")) | {"endpoints": 0} == {"index": 1, "snapshot": True, "endpoints": 0}
         watch = asyncio.ensure_future(ask("?after=1&wait_ms=900"))
         await asyncio.sleep(0.05)
-        await d.change("s-1", status="Terminating")
-        told = await watch
-        assert not told["snapshot"] and [r["status"] for r in told["endpoints"]] == ["Terminating"]
+        await discovery.change("s-1", status="Terminating")
+        listing = await watch
+        assert not listing["snapshot"]
+        assert [row["status"] for row in listing["endpoints"]] == ["Terminating"]
         assert (await ask("?after=2&wait_ms=10"))["endpoints"] == []
-        assert (await ask("?after=7&wait_ms=10"))["snapshot"]  # a version of another life
-        await d.change("s-1", status="Gone")
-        assert (await ask(""))["endpoints"] == [] and {x[1:] for x in d.told} == {("s-1", "Terminating")}
-        d.down = True
-        assert (await talk.call(d.address, "GET /discovery/hosts HTTP/1.1", wait=0.1)) == (0, b"")
-        await d.close()
+        assert (await ask("?after=7&wait_ms=10"))["snapshot"]  # a version of another incarnation
+        await discovery.change("s-1", status="Gone")
+        assert (await ask(""))["endpoints"] == []
+        assert {notice[1:] for notice in discovery.notices} == {("s-1", "Terminating")}
+        discovery.is_silent = True
+        silence = await http_messages.call(discovery.address, "GET", "/discovery/hosts", timeout=0.1)
+        assert silence == (0, b"")
+        await discovery.close()
 
     asyncio.run(story())
 
 
 def test_the_ledger_finds_each_broken_rule_and_no_other():
-    def entry(op, answers, runs=(), forwards=((0.1, "s"),), sent=0.0):
-        return op, answers, runs, forwards, sent
+    def entry(operation, answers, effects=(), arrivals=((0.1, "s"),), sent=0.0):
+        return operation, answers, effects, arrivals, sent
 
-    for op, answers, runs, forwards, sent, rules in (
+    for operation, answers, effects, arrivals, sent, rules in (
         (*entry(VIEW, [(0.5, 200, b"")]), []),
         (*entry(VIEW, []), [1]),
         (*entry(VIEW, [(1.2, 500, b"")]), [1]),
         (*entry(VIEW, [(1.04, 500, b"")]), []),
         (*entry(VIEW, [(0.5, 200, b""), (0.6, 0, b"")]), [1]),
-        (*entry(VIEW, [(0.5, 200, b"")], forwards=()), [1]),
+        (*entry(VIEW, [(0.5, 200, b"")], arrivals=()), [1]),
         (*entry(VIEW, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), []),
         (*entry(PAY, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), [2]),
         (*entry(PAY, [(0.5, 503, b"")], [(0.1, "s")]), [2]),
         (*entry(PAY, [(0.5, 500, b"")], [(0.1, "s")]), []),
         (*entry(HOLD, [(0.5, 503, b"")], [(0.1, "s")]), []),
         (*entry(HOLD, [(0.5, 200, b"")], [(0.1, "s"), (0.2, "t")]), [2]),
-        (*entry(VIEW, [(0.5, 200, b"")], forwards=[(5.0, "drained")]), []),
-        (*entry(VIEW, [(0.5, 200, b"")], forwards=[(5.1, "drained")]), [3]),
+        (*entry(VIEW, [(0.5, 200, b"")], arrivals=[(5.0, "drained")]), []),
+        (*entry(VIEW, [(0.5, 200, b"")], arrivals=[(5.1, "drained")]), [3]),
         (*entry(VIEW, [], sent=None), []),
     ):
-        ledger = Ledger(grace=2.0)
-        e = ledger.enter("n-1-0", op, "k", 0.0)
-        e.sent, e.answers, e.refused = sent, answers, sent is None
-        for at, executor in runs:
-            ledger.ran(executor, [("n-1-0", "k", op.name, at)])
-        for at, executor in forwards:
-            ledger.reached(executor, [("n-1-0", at)])
-        ledger.drained("drained", 1.0)
-        ledger.drained("drained", 3.0)  # the last node heard of it then
-        assert [b.rule for b in ledger.judge()] == rules, (op, answers, runs, forwards)
+        ledger = Ledger(drain_grace=2.0)
+        request = ledger.add_request("n-1-0", operation, "k", 0.0)
+        request.sent = sent
+        request.answers = [Answer(*answer) for answer in answers]
+        request.refused = sent is None
+        for time, executor in effects:
+            ledger.add_effects(executor, [("n-1-0", "k", operation.name, time)])
+        for time, executor in arrivals:
+            ledger.add_arrivals(executor, [("n-1-0", time)])
+        ledger.add_removal("drained", 1.0)
+        ledger.add_removal("drained", 3.0)  # The last node learns of it then.
+        violations = ledger.violations()
+        assert [violation.rule for violation in violations] == rules, (operation, answers, effects, arrivals)
 
 
 def play(operation, faults=None, patch="", drain=False, grace=2.0, seconds=2.0):
-    """Broken rules of a small fleet under load; `patch` runs in each node's program before it starts."""
+    """Returns counts and violations of a small fleet under load; `patch` is run first in each node."""
     start = f"import sys; {patch}\nfrom grebedyke.__main__ import main\nsys.argv = ['n']\nsys.exit(main())"
 
     async def story():
-        fleet = Fleet(
+        fleet = LocalFleet(
             (operation,),
-            nodes=2,
-            executors=4,
+            FleetShape(nodes=2, executors=4),
             command=(sys.executable, "-c", start),
-            faults={name: [fault(x)] for name, x in (faults or {}).items()},
+            faults={name: [parse_fault(x)] for name, x in (faults or {}).items()},
         )
         try:
             await fleet.start()
-            clients = Clients(fleet.nodes, Ledger(grace), retries=0)
-            plan = shape.arrivals(3, "poisson", 30, seconds, "constant", 0.05, (operation,))
-            playing = asyncio.ensure_future(clients.play(plan))
+            clients = OpenLoopClients(fleet.nodes, Ledger(grace), retries=0)
+            shape = LoadShape(
+                operations=(operation,),
+                rate=30,
+                seconds=seconds,
+                size_law=SizeLaw.CONSTANT,
+                mean_work=0.05,
+            )
+            playing = asyncio.ensure_future(clients.play(draw_arrivals(3, shape)))
             if drain:
                 await asyncio.sleep(0.3)
-                await fleet.drain("s-0")
+                await fleet.drain_executor("s-0")
             await playing
-            fleet.fill(clients.ledger)
-            return clients.ledger.counts(), clients.ledger.judge()
+            fleet.report_to(clients.ledger)
+            return clients.ledger.counts(), clients.ledger.violations()
         finally:
             await fleet.close()
 
@@ -235,25 +264,35 @@
     )
     with ThreadPoolExecutor(3) as beside:  # each is a fleet of its own, and mostly waits
         played = list(beside.map(lambda case: play(*case[:4], grace=0.3), cases))
-    for (*_, rule, word), (counts, broken) in zip(cases, played, strict=True):
+    for (*_, rule, part), (counts, violations) in zip(cases, played, strict=True):
         assert counts["taken"] > 20, counts
-        assert {b.rule for b in broken} == ({rule} if rule else set()), broken[:3]
-        assert not rule or any(word in b.what for b in broken), broken[:3]
+        assert {violation.rule for violation in violations} == ({rule} if rule else set()), violations[:3]
+        assert not rule or any(part in violation.description for violation in violations), violations[:3]
 
 
 def test_arrivals_are_the_same_for_a_seed_and_bounded():
-    def plan(seed):
-        return shape.arrivals(seed, "burst", 40, 10, "pareto", 0.1, (PAY, VIEW), ("t", "u"), 0.1)
-
-    assert plan(4) == plan(4) != plan(5) and {a.operation for a in plan(4)} == {PAY, VIEW}
-    bursts = sum(a.at % 5 < 1 for a in plan(4))
-    assert bursts > len(plan(4)) / 3  # a fifth of the time, three times the rate
+    shape = LoadShape(
+        operations=(PAY, VIEW),
+        rate=40,
+        seconds=10,
+        pattern=ArrivalPattern.BURST,
+        size_law=SizeLaw.PARETO,
+        mean_work=0.1,
+        tenants=("t", "u"),
+        leaving=0.1,
+    )
+    arrivals = draw_arrivals(4, shape)
+    assert arrivals == draw_arrivals(4, shape) != draw_arrivals(5, shape)
+    assert {arrival.operation for arrival in arrivals} == {PAY, VIEW}
+    in_bursts = sum(arrival.time % 5 < 1 for arrival in arrivals)
+    assert in_bursts > len(arrivals) / 3  # A fifth of the time, three times the rate.
     for rate, seconds in ((1e6, 3600), (0, 5), (1, 0), (1, 1e6)):
         with pytest.raises(ValueError, match="out of bounds"):
-            shape.arrivals(1, "poisson", rate, seconds, "constant", 0.1, (PAY,))
+            shape = LoadShape(operations=(PAY,), rate=rate, seconds=seconds, mean_work=0.1)
+            draw_arrivals(1, shape)
 
 
-def test_commands_say_in_one_line_what_is_wrong(tmp_path):
+def test_commands_report_bad_input_in_one_line(tmp_path):
     for words, code, line in (
         (("load", "--node", "a=10.0.0.1:9"), 2, "10.0.0.1 is not a loopback address"),
         (("load", "--node", "a=127.0.0.1"), 2, "127.0.0.1 is not host:port"),
@@ -272,21 +311,21 @@
         (("fleet-log", "--span", "0", str(tmp_path)), 2, "--span is out of its range"),
     ):
         result = CliRunner().invoke(cli, words)
-        told = result.output.strip()
-        assert result.exit_code == code and line in told and told.count("\n") == 0, (words, told)
+        message = result.output.strip()
+        assert result.exit_code == code and line in message and message.count("\n") == 0, (words, message)
     # Nobody listens there: all are refused, and that is no broken rule of a node's.
     result = CliRunner().invoke(
-        cli, ("load", "--node", "a=127.0.0.1:9", "--seconds", "0.5", "--json", str(tmp_path / "told.json"))
+        cli, ("load", "--node", "a=127.0.0.1:9", "--seconds", "0.5", "--json", str(tmp_path / "summary.json"))
     )
-    told = json.loads((tmp_path / "told.json").read_text())
-    assert result.exit_code == 0 and told["counts"]["refused"] > 0 == told["counts"]["taken"]
-    assert "rules: not judged" in result.output and not told["judged"]
+    summary = json.loads((tmp_path / "summary.json").read_text())
+    assert result.exit_code == 0 and summary["counts"]["refused"] > 0 == summary["counts"]["taken"]
+    assert "rules: not judged" in result.output and not summary["judged"]
 
 
 def test_the_demo_serves_through_a_death_and_a_hang(tmp_path):
     result = CliRunner().invoke(
         cli, ("demo", "--seconds", "4", "--rate", "30", "--json", str(tmp_path / "d"))
     )
-    told = json.loads((tmp_path / "d").read_text())
+    summary = json.loads((tmp_path / "d").read_text())
     assert result.exit_code == 0 and "rules: all kept" in result.output and "is killed" in result.output
-    assert told["counts"]["succeeded"] > 60 and told["broken"] == []
+    assert summary["counts"]["succeeded"] > 60 and summary["broken"] == []
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -262,8 +262,8 @@
 
     After a reload half of the old settings would stay in force.
     """
-    first = configuration.terms(orjson.loads(orjson.dumps(SETTINGS)))
-    second = configuration.terms(OTHER_SETTINGS)
+    first = configuration.check_settings(orjson.loads(orjson.dumps(SETTINGS)))
+    second = configuration.check_settings(OTHER_SETTINGS)
     dispatcher = fresh_dispatcher(first)
     for settings in (second, first, second):
         expected = settings_in_force(fresh_dispatcher(settings))
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -10,18 +10,18 @@
 from click.testing import CliRunner
 
 from grebedyke.commands.main import cli
-from grebedyke.load import fleet as plain
+from grebedyke.emulators import http_messages
+from grebedyke.load.deployment import deployment_settings
 from grebedyke.service.record_files import RecordFiles
-from grebedyke.standin import talk
 from grebedyke.testbed import trial
 from grebedyke.testbed.launcher import DiskFault, FaultyFiles
 from grebedyke.testbed.process_cluster import (
     LAUNCHER_MODULE,
     LAUNCHER_MODULE_OF_0_1,
     ProcessCluster,
-    ProcessClusterSettings,
     launcher_module,
 )
+from grebedyke.testbed.process_cluster_settings import ProcessClusterSettings
 from grebedyke.testbed.trial_checker import TrialChecker
 
 # Each fault comes in some trial: one that did not happen proves nothing.
@@ -55,7 +55,7 @@
     assert all(counts.get(kind) for kind in HAPPENED), counts
 
 
-def test_the_judge_finds_what_logs_contradict():
+def test_the_checker_finds_what_logs_contradict():
     def event(revision, machine, state):
         return {"event": "machine", "rev": revision, "machine": machine, "state": state}
 
@@ -284,16 +284,16 @@
 
 async def request_until_reached(cluster, executor):
     """Sends requests to n1 until one reaches an executor; returns how many were sent."""
-    before = len(executor.forwards)
+    before = len(executor.arrivals)
     count = 0
-    while len(executor.forwards) == before and count < 200:
+    while len(executor.arrivals) == before and count < 200:
         count += 1
-        await talk.call(
+        await http_messages.call(
             cluster.nodes["n1"],
-            "POST /view/k HTTP/1.1",
+            "POST",
+            "/view/k",
             b'{"work_ms": 5}',
-            X_Request_ID=f"n1-{count}",
-            X_Timeout_Ms=4000,
+            headers={"X-Request-ID": f"n1-{count}", "X-Timeout-Ms": 4000},
         )
     return count
 
@@ -316,7 +316,7 @@
             status, _ = await cluster.call("n0", "POST", f"/v1/maintenance/back/s-1/{number}")
             assert status == 200
             count = await request_until_reached(cluster, cluster.executors["s-1"])
-            return count, [request_id for request_id, _ in cluster.executors["s-2"].forwards]
+            return count, [request_id for request_id, _ in cluster.executors["s-2"].arrivals]
         finally:
             await cluster.close()
 
@@ -347,4 +347,4 @@
         env={**os.environ, "PYTHONPATH": "."},
     )
     assert completed.stdout.strip() == "[]"
-    assert plain.settings(trial.OPERATIONS, 3, 0, "a")["limits"].get("peerMessages") is None
+    assert deployment_settings(trial.OPERATIONS, 3, 0, "a")["limits"].get("peerMessages") is None
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -98,7 +98,7 @@
 
 def discovery_settings(drain_grace_ms, mode):
     rules = {**SETTINGS["rules"], "drainGraceMs": drain_grace_ms}
-    terms = configuration.terms({**SETTINGS, "rules": rules, "registryMode": mode})
+    terms = configuration.check_settings({**SETTINGS, "rules": rules, "registryMode": mode})
     return node_settings(terms).discovery
 
 
