--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -146,7 +146,7 @@
         )
         (self.folder / name).write_bytes(orjson.dumps(content))
 
-    def adopt_settings(self, name, has_peers):
+    def reload(self, name, has_peers):
         """Changes a node's file and reloads it."""
         self.write(name, has_peers)
         self.nodes[name].reload()
