--- a/grebedyke/service/fleet_assembly.py
+++ b/grebedyke/service/fleet_assembly.py
@@ -192,7 +192,7 @@
         return
     from grebedyke.rate_limits import settings
 
-    node.parts.host.dispatcher.quotas.limits = rate_limits.request_limiter
+    node.parts.host.dispatcher.quotas.request_limiter = rate_limits.request_limiter
 
     def prepare(configuration):
         """Returns the call that puts a configuration's limits in force."""
